--- a/src/controllers/claim_record.cpp
+++ b/src/controllers/claim_record.cpp
@@ -22,7 +22,7 @@
 
 StoredOutcome decode_outcome(const JsonFields& fields) {
   StoredOutcome outcome;
-  outcome.status = fields.whole32("status");
+  outcome.status = fields.unsigned32("status");
   outcome.content_type = fields.text("content_type");
   if (fields.has("object")) {
     outcome.object = fields.text("object");
@@ -35,8 +35,8 @@
 ClaimRecord decode_claim(const JsonFields& fields) {
   ClaimRecord record;
   record.claim = core::WriteId(fields.text("claim"));
-  record.fingerprint = fields.whole("fingerprint");
-  const auto claimed_at = static_cast<std::int64_t>(fields.whole("claimed_at_ms"));
+  record.fingerprint = fields.unsigned64("fingerprint");
+  const auto claimed_at = static_cast<std::int64_t>(fields.unsigned64("claimed_at_ms"));
   record.claimed_at = core::WallTime(std::chrono::milliseconds(claimed_at));
   const std::vector<JsonFields> outcomes = fields.objects("outcome");
   if (!outcomes.empty()) {
--- a/src/controllers/gossip_state_packets.cpp
+++ b/src/controllers/gossip_state_packets.cpp
@@ -112,7 +112,7 @@
   } else if (const auto* sync = std::get_if<wire::SyncRequest>(&packet.message)) {
     correct_sender(packet.sender, from, output);
     answer_sync(*sync, from, now, output);
-  } else if (!std::holds_alternative<wire::News>(packet.message)) {
+  } else if (!std::holds_alternative<wire::StateUpdate>(packet.message)) {
     output.received = ReceivedMessage{packet.sender.node, from, packet.message};
   }
 }
@@ -121,7 +121,7 @@
                                  GossipOutput& output) {
   // Never in answer to news alone: two who doubt each other would go on for ever.
   if (must_correct(sender)) {
-    output.packets.push_back(make_packet(from, wire::News{}, &sender.node));
+    output.packets.push_back(make_packet(from, wire::StateUpdate{}, &sender.node));
   }
 }
 
@@ -266,7 +266,7 @@
     if (news_.empty() || budget_.available() < settings_.packet_bytes) {
       return;
     }
-    packets.push_back(make_packet(records_.find(node)->gossip_address, wire::News{}));
+    packets.push_back(make_packet(records_.find(node)->gossip_address, wire::StateUpdate{}));
   }
 }
 
--- a/src/controllers/operator_configuration_json.cpp
+++ b/src/controllers/operator_configuration_json.cpp
@@ -24,7 +24,7 @@
   std::optional<nlohmann::json> object = core::parse_json(body);
   if (!object || !object->is_object()) {
     return Problems{{kBody, 0, "", "something else",
-                     fmt::format("a JSON object, at most {} levels deep", core::kDeepestJson)}};
+                     fmt::format("a JSON object, at most {} levels deep", core::kMaxJsonDepth)}};
   }
   return Checked<nlohmann::json>(boost::system::in_place_value, std::move(*object));
 }
--- a/src/core/backoff.hpp
+++ b/src/core/backoff.hpp
@@ -19,8 +19,8 @@
 /// \p attempt (from 0): between a half and the whole of first * 2^attempt.
 inline Duration backoff_delay(const BackoffSettings& settings, std::uint32_t attempt,
                               RandomSource& random) {
-  constexpr std::uint32_t kMostDoublings = 20;
-  const std::int64_t factor = std::int64_t{1} << std::min(attempt, kMostDoublings);
+  constexpr std::uint32_t kMaxDoublings = 20;
+  const std::int64_t factor = std::int64_t{1} << std::min(attempt, kMaxDoublings);
   const Duration whole = std::min(settings.first * factor, settings.longest);
   return from_seconds(to_seconds(whole) * (0.5 + 0.5 * random.fraction()));
 }
--- a/src/core/json_text.hpp
+++ b/src/core/json_text.hpp
@@ -11,11 +11,11 @@
 namespace stoneport::core {
 
 /// Deeper documents are refused by parse_json().
-inline constexpr int kDeepestJson = 32;
+inline constexpr int kMaxJsonDepth = 32;
 
 /// \return the value that \p text holds; nothing when it is no JSON or nests
 /// arrays and objects more than \p deepest levels.
-std::optional<nlohmann::json> parse_json(std::string_view text, int deepest = kDeepestJson);
+std::optional<nlohmann::json> parse_json(std::string_view text, int deepest = kMaxJsonDepth);
 
 /// \return whether \p text is valid UTF-8.
 bool is_utf8(std::string_view text);
--- a/src/fleet/replica_scaler.cpp
+++ b/src/fleet/replica_scaler.cpp
@@ -221,7 +221,7 @@
   }
   refused_.Increment();
   if (taken.error().code == core::ErrorCode::kConflict) {
-    ordered.not_before = inputs_.time.now() + settings_.none_there_pause;
+    ordered.not_before = inputs_.time.now() + settings_.no_capacity_pause;
   }
 }
 
--- a/src/fleet/replica_scaler.hpp
+++ b/src/fleet/replica_scaler.hpp
@@ -26,7 +26,7 @@
   core::Duration write_timeout = std::chrono::milliseconds(900);
   core::Duration tick = std::chrono::milliseconds(250);
   /// A zone where none were to be had is not asked again for this long.
-  core::Duration none_there_pause = std::chrono::seconds(3);
+  core::Duration no_capacity_pause = std::chrono::seconds(3);
 };
 
 class ReplicaScaler : public jobs::TermDuty, public std::enable_shared_from_this<ReplicaScaler> {
--- a/src/ingress/forwarder.cpp
+++ b/src/ingress/forwarder.cpp
@@ -268,7 +268,8 @@
         co_await client_.call(std::move(target), whole_call(request, progress, 0));
     if (!answer) {
       note_attempt(answer.error(), observed);
-      co_await runtime::end_if_cut();  // the replica is not to blame for a call that was cut
+      co_await runtime::cancellation_point();  // the replica is not to blame for a call that was
+                                               // cut
       co_await settle_failure(request, replica, answer.error(), progress);
       note_failure(request, replica, answer.error(), progress);
       continue;
--- a/src/ingress/forwarder_second.cpp
+++ b/src/ingress/forwarder_second.cpp
@@ -236,7 +236,7 @@
       send_first(request, replica, race, progress, observed);
     }
     co_await race.wait(next_look(*request.route, race));
-    co_await runtime::end_if_cut();
+    co_await runtime::cancellation_point();
     while (const CallAttemptPointer ended = race.take_ended()) {
       std::optional<ForwardResult> result = settle(request, *ended, race, progress, observed);
       if (result) {
--- a/src/jobs/job_store.cpp
+++ b/src/jobs/job_store.cpp
@@ -19,7 +19,7 @@
   if (latency < allowed) {
     timeout.on_answer(latency);
   } else {
-    timeout.on_silence();
+    timeout.on_timeout();
   }
 }
 
--- a/src/jobs/term_writer.cpp
+++ b/src/jobs/term_writer.cpp
@@ -55,7 +55,7 @@
 void TermWriter::start() {
   // Of a slow store the bid has told; learning it anew by timeouts would leave the
   // heartbeat silent for longer than others wait.
-  timeout_.begin_with(term_.bid_latency);
+  timeout_.set_expected_latency(term_.bid_latency);
   next_heartbeat_ = time_.now() + settings_.heartbeat_interval;
   next_checkpoint_ = time_.now() + settings_.checkpoint_interval;
   runtime::start(executor_, "term writer", run(shared_from_this()));
@@ -191,7 +191,7 @@
   if (committed || latency < timeout) {
     timeout_.on_answer(latency);
   } else {
-    timeout_.on_silence();
+    timeout_.on_timeout();
   }
   if (committed) {
     commit_seconds_.Observe(core::to_seconds(latency));
@@ -254,7 +254,7 @@
         co_return *is_done ? Settled::kCommitted : Settled::kDeposed;
       }
     }
-    timeout_.on_silence();
+    timeout_.on_timeout();
     co_await runtime::sleep_for(settings_.retry_pause);
   }
   co_return Settled::kStopped;
--- a/src/jobs/text_attempt.cpp
+++ b/src/jobs/text_attempt.cpp
@@ -134,7 +134,7 @@
     text.versions.push_back(version->value());
     on_event();
   }
-  if (!stream.end_is_certain()) {
+  if (!stream.can_detect_truncation()) {
     co_return ended(AttemptEndKind::kBroken, "the end is not certain", version);
   }
   if (text.events.empty()) {
--- a/src/node/caller_directory.cpp
+++ b/src/node/caller_directory.cpp
@@ -8,9 +8,9 @@
 
 /// Groups of processes, nearest first.
 enum Nearness : std::size_t { kSameZone, kSameRegion, kInHome, kElsewhere, kGroups };
-using Groups = std::array<Takers, kGroups>;
+using Groups = std::array<AvailableMembers, kGroups>;
 
-Nearness nearness_of(const wire::Member& member, const CallerPlace& place,
+Nearness nearness_of(const wire::Member& member, const CallerLocation& place,
                      const eligibility::Regions& homes) {
   if (member.zone == place.zone) {
     return kSameZone;
@@ -21,15 +21,15 @@
   return homes.contains(member.region) ? kInHome : kElsewhere;
 }
 
-bool takes_callers(const TakerView& view, const wire::Member& member) {
+bool takes_callers(const ResponderState& view, const wire::Member& member) {
   if (member.node == view.self) {
     return view.is_ready;
   }
-  return view.reaches_others && member.state == wire::MemberState::kAlive && !member.leaving;
+  return view.can_reach_others && member.state == wire::MemberState::kAlive && !member.leaving;
 }
 
 /// Puts \p takers in an order by chance, so that the first few are a fair sample.
-void mix(Takers& takers, core::RandomSource& random) {
+void mix(AvailableMembers& takers, core::RandomSource& random) {
   for (std::size_t left = takers.size(); left > 1; --left) {
     std::swap(takers[left - 1], takers[random.uniform(0, left - 1)]);
   }
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-Takers takers_of(const TakerView& view, const wire::MemberMap& members) {
-  Takers takers;
+AvailableMembers available_members(const ResponderState& view, const wire::MemberMap& members) {
+  AvailableMembers takers;
   for (const auto& [node, member] : members) {
     if (takes_callers(view, member)) {
       takers.push_back(&member);
@@ -47,9 +47,10 @@
   return takers;
 }
 
-std::vector<core::Address> addresses_for(const Takers& takers, const CallerPlace& place,
-                                         const eligibility::Regions& homes,
-                                         core::RandomSource& random) {
+std::vector<core::Address> select_caller_addresses(const AvailableMembers& takers,
+                                                   const CallerLocation& place,
+                                                   const eligibility::Regions& homes,
+                                                   core::RandomSource& random) {
   Groups groups;
   for (const wire::Member* member : takers) {
     groups[nearness_of(*member, place, homes)].push_back(member);
@@ -57,12 +58,12 @@
   std::vector<core::Address> named;
   for (std::size_t group = 0; group < kGroups; ++group) {
     const bool breaks_homes = group == kElsewhere && !homes.empty() && !named.empty();
-    if (named.size() >= kEnoughNearby || breaks_homes) {
+    if (named.size() >= kMinNearbyAddresses || breaks_homes) {
       break;
     }
     mix(groups[group], random);
     for (const wire::Member* member : groups[group]) {
-      if (named.size() < kMostAddresses) {
+      if (named.size() < kMaxCallerAddresses) {
         named.push_back(member->peer_address);
       }
     }
--- a/src/node/caller_directory.hpp
+++ b/src/node/caller_directory.hpp
@@ -14,37 +14,38 @@
 namespace stoneport::node {
 
 /// An answer names no more; the format allows no more.
-inline constexpr std::size_t kMostAddresses = 64;
+inline constexpr std::size_t kMaxCallerAddresses = 64;
 /// Callers pick one by chance and leave out those that failed them: with fewer in a zone or a
 /// region, the next nearest processes are named besides.
-inline constexpr std::size_t kEnoughNearby = 3;
+inline constexpr std::size_t kMinNearbyAddresses = 3;
 
 /// Where a caller is.
-struct CallerPlace {
+struct CallerLocation {
   core::ZoneName zone;
   core::RegionName region;  ///< empty when the caller does not say
 };
 
 /// Members that take callers now. Refers to their owner's values.
-using Takers = std::vector<const wire::Member*>;
+using AvailableMembers = std::vector<const wire::Member*>;
 
 /// What the process that answers knows of itself.
-struct TakerView {
+struct ResponderState {
   core::NodeId self;
-  bool is_ready = false;       ///< whether it takes callers
-  bool reaches_others = true;  ///< whether other processes answer it
+  bool is_ready = false;         ///< whether it takes callers
+  bool can_reach_others = true;  ///< whether other processes answer it
 };
 
 /// \return the members that take callers; none but itself where nobody answers the process, as
 /// what it knows of the others is out of date then.
-Takers takers_of(const TakerView& view, const wire::MemberMap& members);
+AvailableMembers available_members(const ResponderState& view, const wire::MemberMap& members);
 
 /// \param takers members that take callers now
 /// \param homes regions that the routes of the caller's host allow; empty binds nothing
 /// \return the addresses of the nearest groups (zone, region, homes, others) that together have
 /// enough, in that order; of a group that is too large, a sample by chance.
-std::vector<core::Address> addresses_for(const Takers& takers, const CallerPlace& place,
-                                         const eligibility::Regions& homes,
-                                         core::RandomSource& random);
+std::vector<core::Address> select_caller_addresses(const AvailableMembers& takers,
+                                                   const CallerLocation& place,
+                                                   const eligibility::Regions& homes,
+                                                   core::RandomSource& random);
 
 }  // namespace stoneport::node
--- a/src/node/health_exchange.cpp
+++ b/src/node/health_exchange.cpp
@@ -103,7 +103,7 @@
     health_.forget_old(time_.now());
     health_.set_processes(addresses_of_others(gossip_.members_by_node(), self_).size() + 1);
     meters_->avoided.Set(static_cast<double>(health_.avoided()));
-    co_await runtime::sleep_for(settings_.tidy);
+    co_await runtime::sleep_for(settings_.expiry_interval);
   }
 }
 
@@ -118,8 +118,8 @@
 core::Duration HealthExchange::draw_wait() {
   const auto members = static_cast<std::int64_t>(gossip_.members_by_node().size());
   const core::Duration spread =
-      std::min(settings_.spread_per_member * members, settings_.longest_spread);
-  return settings_.gather + core::from_seconds(core::to_seconds(spread) * random_.fraction());
+      std::min(settings_.jitter_per_member * members, settings_.max_jitter);
+  return settings_.batch_delay + core::from_seconds(core::to_seconds(spread) * random_.fraction());
 }
 
 asio::awaitable<void> HealthExchange::send_news() {
@@ -147,7 +147,7 @@
     }
     wire::HealthFinding notice = notice_of(finding, now);
     const std::size_t added = wire::encoded_size(notice);
-    if (reports.empty() || size + added > settings_.most_packet_bytes) {
+    if (reports.empty() || size + added > settings_.max_packet_bytes) {
       reports.emplace_back();
       size = base;
     }
@@ -180,7 +180,7 @@
   meters_->sent.Increment(static_cast<double>(receivers.size()));
 }
 
-void HealthExchange::hear(const controllers::ReceivedMessage& message) {
+void HealthExchange::on_message(const controllers::ReceivedMessage& message) {
   const auto* report = std::get_if<wire::HealthReport>(&message.message);
   if (report == nullptr || !is_started_) {
     return;
--- a/src/node/health_exchange.hpp
+++ b/src/node/health_exchange.hpp
@@ -20,20 +20,20 @@
 
 struct HealthExchangeSettings {
   /// Findings of one moment go out together.
-  core::Duration gather = std::chrono::milliseconds(2);
+  core::Duration batch_delay = std::chrono::milliseconds(2);
   /// Each process waits a time drawn from this much for each member, so that most of those that
   /// find the same at once hear of it before their turn: a datagram takes some 12 ms between
   /// regions, in which a dozen others begin, however many there are.
-  core::Duration spread_per_member = std::chrono::milliseconds(1);
+  core::Duration jitter_per_member = std::chrono::milliseconds(1);
   /// All are to know within a second of the first finding.
-  core::Duration longest_spread = std::chrono::milliseconds(500);
+  core::Duration max_jitter = std::chrono::milliseconds(500);
   /// Datagrams, of some 150 bytes: 15 kB a second in the long run, less than the membership's
   /// share, and at once as many as reach 1,000 members. Above it a part of the members, drawn at
   /// random, is told.
   core::TokenBucketSettings packets{.tokens_per_second = 100, .burst = 1000};
-  std::size_t most_packet_bytes = 1200;
+  std::size_t max_packet_bytes = 1200;
   /// Between two looks at what has expired.
-  core::Duration tidy = std::chrono::milliseconds(500);
+  core::Duration expiry_interval = std::chrono::milliseconds(500);
 };
 
 class HealthExchange {
@@ -47,7 +47,7 @@
 
   /// Takes part from now on; before, nothing is told and what is heard is dropped.
   void start();
-  void hear(const controllers::ReceivedMessage& message);
+  void on_message(const controllers::ReceivedMessage& message);
 
  private:
   struct Meters;
--- a/src/node/holder_sign.cpp
+++ b/src/node/holder_liveness.cpp
@@ -1,4 +1,4 @@
-#include "node/holder_sign.hpp"
+#include "node/holder_liveness.hpp"
 
 #include "core/numbers.hpp"
 
@@ -11,7 +11,7 @@
   return node.value() + kSeparator + std::to_string(life);
 }
 
-jobs::HolderSign holder_sign(const std::string& holder, const wire::MemberMap& members) {
+jobs::HolderSign holder_liveness(const std::string& holder, const wire::MemberMap& members) {
   const std::size_t separator = holder.rfind(kSeparator);
   if (separator == std::string::npos) {
     return jobs::HolderSign::kUnknown;
--- a/src/node/isolation.cpp
+++ b/src/node/isolation.cpp
@@ -4,22 +4,22 @@
 
 namespace stoneport::node {
 
-bool another_is_alive(const core::NodeId& self, const wire::MemberMap& members) {
+bool has_other_live_member(const core::NodeId& self, const wire::MemberMap& members) {
   return std::any_of(members.begin(), members.end(), [&self](const auto& entry) {
     const wire::Member& member = entry.second;
     return member.node != self && member.state == wire::MemberState::kAlive && !member.leaving;
   });
 }
 
-bool reaches_others(core::Duration answer_silence) {
-  return answer_silence <= kLongestAnswerSilence;
+bool can_reach_others(core::Duration answer_silence) {
+  return answer_silence <= kMaxAnswerSilence;
 }
 
 bool is_isolated(const core::NodeId& self, const wire::MemberMap& members,
                  core::Duration store_silence, bool is_answered) {
   const bool has_others = members.size() > 1;
-  const bool is_in_touch = is_answered && another_is_alive(self, members);
-  return has_others && store_silence > kLongestStoreSilence && !is_in_touch;
+  const bool is_in_touch = is_answered && has_other_live_member(self, members);
+  return has_others && store_silence > kMaxStoreSilence && !is_in_touch;
 }
 
 }  // namespace stoneport::node
--- a/src/node/isolation.hpp
+++ b/src/node/isolation.hpp
@@ -10,20 +10,20 @@
 namespace stoneport::node {
 
 /// Without any service of the store for this long a process may be cut off.
-inline constexpr core::Duration kLongestStoreSilence = std::chrono::milliseconds(1500);
+inline constexpr core::Duration kMaxStoreSilence = std::chrono::milliseconds(1500);
 
 /// \param members with the process itself
 /// \return whether any process but \p self is alive and takes callers.
-bool another_is_alive(const core::NodeId& self, const wire::MemberMap& members);
+bool has_other_live_member(const core::NodeId& self, const wire::MemberMap& members);
 
 /// Every member probes another four times a second, so that silence of all of them for this
 /// long is the own network's. Members that are cut off are found one by one: 73 of them took
 /// one process 18 s.
-inline constexpr core::Duration kLongestAnswerSilence = std::chrono::milliseconds(2000);
+inline constexpr core::Duration kMaxAnswerSilence = std::chrono::milliseconds(2000);
 
 /// \param answer_silence time since another process last answered this one
 /// \return whether what the members' list says of others is worth anything.
-bool reaches_others(core::Duration answer_silence);
+bool can_reach_others(core::Duration answer_silence);
 
 /// \param store_silence time since the store last served this process
 /// \param is_answered whether other processes still answer this one
--- a/src/node/load_view.cpp
+++ b/src/node/load_view.cpp
@@ -16,7 +16,7 @@
   if (!avoided.is_suspect && !avoided.is_ejected) {
     return;
   }
-  if (zone.avoided.size() == kMostAvoidedNamed) {
+  if (zone.avoided.size() == kMaxAvoidedListed) {
     ++zone.avoided_unnamed;
     return;
   }
--- a/src/node/load_view.hpp
+++ b/src/node/load_view.hpp
@@ -28,11 +28,11 @@
   std::uint32_t places = 0;    ///< calls that these take at once
   std::uint32_t running = 0;   ///< calls and texts of this process there
   std::vector<AvoidedReplica> avoided;
-  std::uint32_t avoided_unnamed = 0;  ///< beyond kMostAvoidedNamed
+  std::uint32_t avoided_unnamed = 0;  ///< beyond kMaxAvoidedListed
 };
 
 /// An operator looks into a few replicas at most; beyond them the number says enough.
-inline constexpr std::size_t kMostAvoidedNamed = 16;
+inline constexpr std::size_t kMaxAvoidedListed = 16;
 
 struct ServiceLoad {
   core::ServiceName service;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -6,9 +6,9 @@
 #include "core/decision_log.hpp"
 #include "core/hash.hpp"
 #include "ingress/route_regions.hpp"
-#include "node/gossip_pace.hpp"
-#include "node/holder_sign.hpp"
+#include "node/holder_liveness.hpp"
 #include "node/isolation.hpp"
+#include "node/node_gossip_settings.hpp"
 #include "node/term_region.hpp"
 #include "records/feed_pace.hpp"
 #include "runtime/tasks.hpp"
@@ -109,8 +109,9 @@
                  &usage_counter_),
       job_store_(inputs_.store, inputs_.time, inputs_.metrics),
       gossip_endpoint_(inputs_.executor, inputs_.metrics),
-      gossip_(inputs_.executor, gossip_endpoint_, self_of(settings_, life_number_), gossip_pace(),
-              seed_for(settings_, life_number_, "gossip"), inputs_.time, inputs_.metrics),
+      gossip_(inputs_.executor, gossip_endpoint_, self_of(settings_, life_number_),
+              node_gossip_settings(), seed_for(settings_, life_number_, "gossip"), inputs_.time,
+              inputs_.metrics),
       suspect_exchange_(inputs_.executor, gossip_, forwarder_.guard(), settings_.name,
                         seed_for(settings_, life_number_, "suspects"), inputs_.time,
                         inputs_.metrics),
@@ -135,24 +136,26 @@
 Node::~Node() = default;
 
 jobs::CoordinatorInputs Node::coordinator_inputs() {
-  return {
-      inputs_.executor,
-      inputs_.store,
-      job_store_,
-      inputs_.parser,
-      directory_,
-      routes_,
-      inputs_.replicas,
-      forwarder_,
-      [this] { return named_versions_; },
-      [this] { return ready(); },
-      [this](const std::string& holder) { return holder_sign(holder, gossip_.members_by_node()); },
-      inputs_.time,
-      inputs_.metrics,
-      [this] {
-        return has_coordinator_elsewhere(settings_.region, job_regions_, gossip_.members_by_node());
-      },
-      [this](const jobs::TermContext& context) { return make_duties(context); }};
+  return {inputs_.executor,
+          inputs_.store,
+          job_store_,
+          inputs_.parser,
+          directory_,
+          routes_,
+          inputs_.replicas,
+          forwarder_,
+          [this] { return named_versions_; },
+          [this] { return ready(); },
+          [this](const std::string& holder) {
+            return holder_liveness(holder, gossip_.members_by_node());
+          },
+          inputs_.time,
+          inputs_.metrics,
+          [this] {
+            return has_coordinator_elsewhere(settings_.region, job_regions_,
+                                             gossip_.members_by_node());
+          },
+          [this](const jobs::TermContext& context) { return make_duties(context); }};
 }
 
 usage::UsagePublisher::Inputs Node::publisher_inputs() {
@@ -212,10 +215,10 @@
 
 void Node::start() {
   gossip_.set_seeds(settings_.gossip_seeds);
-  gossip_.on_zone_change([this] { hear_evacuations(); });
+  gossip_.on_zone_change([this] { on_zone_notices(); });
   gossip_.on_message([this](const controllers::ReceivedMessage& message) {
-    suspect_exchange_.hear(message);
-    health_exchange_.hear(message);
+    suspect_exchange_.on_message(message);
+    health_exchange_.on_message(message);
   });
   suspect_exchange_.start();
   if (settings_.load_control.shared_health) {
@@ -271,7 +274,7 @@
   records::RereadOptions options;
   options.first_key = [this] { return directory_.first_name_in_windows(settings_.name.value()); };
   options.pause = [this](std::size_t page_bytes, core::Duration took) {
-    const bool needs_more = coordinator_.is_coordinating() || lacks_a_service();
+    const bool needs_more = coordinator_.is_coordinating() || is_missing_a_service();
     return needs_more ? core::Duration(0)
                       : records::reread_pause(gossip_.members_by_node().size(), page_bytes, took);
   };
@@ -281,7 +284,7 @@
   return options;
 }
 
-bool Node::lacks_a_service() const {
+bool Node::is_missing_a_service() const {
   const std::shared_ptr<const ingress::RouteTable> table = routes_.current();
   if (!table) {
     return false;
@@ -311,7 +314,7 @@
   }
 }
 
-void Node::offer_routes(std::shared_ptr<const ingress::RouteTable> table) {
+void Node::update_routes(std::shared_ptr<const ingress::RouteTable> table) {
   const std::uint64_t version = table->version();
   const std::size_t routes = table->routes().size();
   if (!routes_.offer(std::move(table))) {
@@ -332,7 +335,7 @@
   coordinator_.on_inputs_changed();
 }
 
-void Node::change_replicas(ingress::ReplicaChanges changes) {
+void Node::apply_replica_changes(ingress::ReplicaChanges changes) {
   const std::size_t written = changes.written.size();
   const std::vector<core::Address> left = directory_.apply(std::move(changes));
   for (const core::Address& address : left) {
@@ -356,13 +359,13 @@
   }
 }
 
-void Node::note_cold(const core::ReplicaId& replica, core::Duration left) {
+void Node::mark_cold(const core::ReplicaId& replica, core::Duration left) {
   if (directory_.find(replica)) {
     directory_.gate().cold_pace().presume_cold(replica, inputs_.time.now() + left);
   }
 }
 
-void Node::take_evacuations(eligibility::ListedEvacuations listed, core::Revision as_of) {
+void Node::apply_evacuations(eligibility::ListedEvacuations listed, core::Revision as_of) {
   eligibility::Evacuations& evacuations = directory_.gate().evacuations();
   const std::set<core::ZoneName> before = evacuations.zones();
   const bool has_changed = evacuations.take_listing(std::move(listed), as_of);
@@ -374,7 +377,7 @@
   }
 }
 
-void Node::hear_evacuations() {
+void Node::on_zone_notices() {
   eligibility::Evacuations& evacuations = directory_.gate().evacuations();
   const std::set<core::ZoneName> before = evacuations.zones();
   bool has_changed = false;
@@ -411,33 +414,34 @@
   return !draining_ && routes_.current() != nullptr && directory_.loaded();
 }
 
-bool Node::serves_a_region_of(const eligibility::RegionBinding& binding) const {
+bool Node::can_serve_binding(const eligibility::RegionBinding& binding) const {
   return ingress::is_known(binding, settings_.zone_regions);
 }
 
 bool Node::is_isolated() const {
   const core::Duration silence = inputs_.time.now() - inputs_.store.last_served();
-  return node::is_isolated(settings_.name, gossip_.members_by_node(), silence, reaches_others());
+  return node::is_isolated(settings_.name, gossip_.members_by_node(), silence, can_reach_others());
 }
 
-std::vector<core::Address> Node::caller_addresses(const CallerPlace& place, std::string_view host) {
+std::vector<core::Address> Node::caller_addresses(const CallerLocation& place,
+                                                  std::string_view host) {
   if (is_isolated()) {
     return {};
   }
-  const Takers takers =
-      takers_of({settings_.name, ready(), reaches_others()}, gossip_.members_by_node());
+  const AvailableMembers takers =
+      available_members({settings_.name, ready(), can_reach_others()}, gossip_.members_by_node());
   const eligibility::Regions homes = routes_.current()
                                          ? ingress::regions_of_host(*routes_.current(), host)
                                          : eligibility::Regions();
-  return addresses_for(takers, place, homes, directory_random_);
+  return select_caller_addresses(takers, place, homes, directory_random_);
 }
 
-bool Node::reaches_others() const {
-  return node::reaches_others(gossip_.answer_silence());
+bool Node::can_reach_others() const {
+  return node::can_reach_others(gossip_.answer_silence());
 }
 
-bool Node::another_is_ready() const {
-  return another_is_alive(settings_.name, gossip_.members_by_node());
+bool Node::has_other_ready_member() const {
+  return has_other_live_member(settings_.name, gossip_.members_by_node());
 }
 
 asio::awaitable<void> Node::drain(core::Duration longest_hold) {
@@ -447,7 +451,8 @@
     gossip_.announce_leaving();
   }
   // With nobody to take the jobs over, they are worked on here to the end.
-  while (coordinator_.holds_term() && !another_is_ready() && inputs_.time.now() < give_up_at) {
+  while (coordinator_.holds_term() && !has_other_ready_member() &&
+         inputs_.time.now() < give_up_at) {
     co_await runtime::sleep_for(kHandOverCheck);
   }
   co_await coordinator_.stop();
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -78,9 +78,9 @@
   void start();
 
   /// Takes in what the store tells; a table older than the one in force is dropped.
-  void offer_routes(std::shared_ptr<const ingress::RouteTable> table);
+  void update_routes(std::shared_ptr<const ingress::RouteTable> table);
   /// To be called once for the first listing, also when it is empty, and for each change.
-  void change_replicas(ingress::ReplicaChanges changes);
+  void apply_replica_changes(ingress::ReplicaChanges changes);
   /// \return the least time between two answers of a feed of the store, with as many processes
   /// as are known here.
   core::Duration feed_interval() const;
@@ -88,23 +88,23 @@
   /// one's own window first, the rest at a pace, unless it coordinates.
   records::RereadOptions reread_options() const;
   /// \return whether the first listing of replicas has come.
-  bool knows_replicas() const { return directory_.loaded(); }
+  bool has_replica_listing() const { return directory_.loaded(); }
   void replace_named_versions(std::map<core::ModelName, core::WeightVersion> versions);
   /// An answer of \p replica said that it is cold for \p left more.
-  void note_cold(const core::ReplicaId& replica, core::Duration left);
+  void mark_cold(const core::ReplicaId& replica, core::Duration left);
   /// Takes in which zones the operator has evacuated, as the store lists them as of \p as_of.
-  void take_evacuations(eligibility::ListedEvacuations listed, core::Revision as_of);
+  void apply_evacuations(eligibility::ListedEvacuations listed, core::Revision as_of);
 
   /// \return whether callers should be sent here.
   bool ready() const;
   /// \return whether \p binding allows a region of this system; without one, what it binds can
   /// never be served.
-  bool serves_a_region_of(const eligibility::RegionBinding& binding) const;
+  bool can_serve_binding(const eligibility::RegionBinding& binding) const;
   /// \return whether this process is cut off from the others and from the store: whom it
   /// would name to callers is out of date.
   bool is_isolated() const;
   /// \return addresses of processes that take a caller's requests for \p host; nearest first.
-  std::vector<core::Address> caller_addresses(const CallerPlace& place, std::string_view host);
+  std::vector<core::Address> caller_addresses(const CallerLocation& place, std::string_view host);
 
   /// \return what is known here of each zone.
   std::vector<ZoneView> zones() const {
@@ -139,17 +139,17 @@
   /// \return the lives of processes that run now, this one among them.
   std::vector<std::string> running_processes() const;
   /// Takes in what other processes tell about evacuated zones.
-  void hear_evacuations();
+  void on_zone_notices();
   void on_evacuations_changed(const std::set<core::ZoneName>& before);
-  bool another_is_ready() const;
+  bool has_other_ready_member() const;
   /// \return whether other processes still answer this one.
-  bool reaches_others() const;
+  bool can_reach_others() const;
   void join_when_ready();
   /// \return the processes that may send clients' requests to cold replicas; none while this
   /// process is cut off and cannot know.
   std::vector<std::string> cold_senders() const;
   /// \return whether a route leads to a service of which no replica is known.
-  bool lacks_a_service() const;
+  bool is_missing_a_service() const;
   /// Keeps the pace at which this process reads the store to its share.
   boost::asio::awaitable<void> pace_feeds();
   /// Tells the gate who shares the sends to cold replicas, and counts these.
--- a/src/node/gossip_pace.cpp
+++ b/src/node/node_gossip_settings.cpp
@@ -1,4 +1,4 @@
-#include "node/gossip_pace.hpp"
+#include "node/node_gossip_settings.hpp"
 
 namespace stoneport::node {
 namespace {
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-controllers::GossipSettings gossip_pace() {
+controllers::GossipSettings node_gossip_settings() {
   controllers::GossipSettings settings;
   settings.probe_interval = kProbeInterval;
   settings.shortest_suspicion = kShortestSuspicion;
--- a/src/node/gossip_pace.hpp
+++ b/src/node/node_gossip_settings.hpp
@@ -8,6 +8,6 @@
 
 /// \return settings by which nobody names a process that ended 7 s ago, also when a whole
 /// zone ends at once or is cut off.
-controllers::GossipSettings gossip_pace();
+controllers::GossipSettings node_gossip_settings();
 
 }  // namespace stoneport::node
--- a/src/node/suspect_exchange.cpp
+++ b/src/node/suspect_exchange.cpp
@@ -19,7 +19,7 @@
   suspect.content = notice.content;
   suspect.generation = notice.generation;
   suspect.ended.insert(notice.ended.begin(), notice.ended.end());
-  suspect.forget_at = now + std::chrono::milliseconds(notice.left_ms);
+  suspect.forget_at = now + std::chrono::milliseconds(notice.remaining_ms);
   return suspect;
 }
 
@@ -67,7 +67,7 @@
 }
 
 asio::awaitable<void> SuspectExchange::send_news() {
-  co_await runtime::sleep_for(settings_.gather);
+  co_await runtime::sleep_for(settings_.batch_delay);
   is_sending_ = false;
   std::vector<wire::SuspectNotice> notices;
   for (auto& [content, notice] : new_notices_) {
@@ -84,7 +84,7 @@
 
 asio::awaitable<void> SuspectExchange::run() {
   while (true) {
-    co_await runtime::sleep_for(settings_.refresh);
+    co_await runtime::sleep_for(settings_.refresh_interval);
     guard_.forget_old();
     tell_one();
     for (const ingress::SuspectRun& run : guard_.own_runs()) {
@@ -101,7 +101,7 @@
   notice.ended.assign(suspect.ended.begin(), suspect.ended.end());
   const auto left =
       std::chrono::duration_cast<std::chrono::milliseconds>(suspect.forget_at - time_.now());
-  notice.left_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(left.count(), 0));
+  notice.remaining_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(left.count(), 0));
   return notice;
 }
 
@@ -115,7 +115,7 @@
   constexpr std::size_t kListLengths = 4;
   const std::size_t base = wire::size_without_records(empty) + kListLengths;
   const std::size_t room =
-      settings_.most_packet_bytes > base ? settings_.most_packet_bytes - base : 0;
+      settings_.max_packet_bytes > base ? settings_.max_packet_bytes - base : 0;
   Reports reports;
   std::size_t left = 0;
   const auto report_with = [&](std::size_t size) -> wire::SuspectReport& {
@@ -166,7 +166,7 @@
   sent_.Increment(static_cast<double>(reports.size()));
 }
 
-void SuspectExchange::hear(const controllers::ReceivedMessage& message) {
+void SuspectExchange::on_message(const controllers::ReceivedMessage& message) {
   const auto* report = std::get_if<wire::SuspectReport>(&message.message);
   if (report == nullptr) {
     return;
--- a/src/node/suspect_exchange.hpp
+++ b/src/node/suspect_exchange.hpp
@@ -18,15 +18,16 @@
 namespace stoneport::node {
 
 struct SuspectExchangeSettings {
-  /// News of one moment goes out together: the connections of a replica that ends break within a
-  /// millisecond.
-  core::Duration gather = std::chrono::milliseconds(2);
+  /// News of one moment goes out together: the connections of a replica that ends break
+  /// within a millisecond.
+  core::Duration batch_delay = std::chrono::milliseconds(2);
   /// Between two times that everything is told to one member. A member is told about as often, so
   /// that one in 400 has heard nothing after 3 s.
-  core::Duration refresh = std::chrono::milliseconds(500);
-  /// News to all members, in packets to each. Above that, members learn it by the refresh.
+  core::Duration refresh_interval = std::chrono::milliseconds(500);
+  /// News to all members, in packets to each. Above that, members learn it by the
+  /// refresh_interval.
   core::TokenBucketSettings broadcasts{.tokens_per_second = 5, .burst = 20};
-  std::size_t most_packet_bytes = 1200;
+  std::size_t max_packet_bytes = 1200;
 };
 
 class SuspectExchange {
@@ -38,7 +39,7 @@
                   SuspectExchangeSettings settings = {});
 
   void start();
-  void hear(const controllers::ReceivedMessage& message);
+  void on_message(const controllers::ReceivedMessage& message);
 
  private:
   using Reports = std::vector<wire::SuspectReport>;
--- a/src/node/suspect_rows.cpp
+++ b/src/node/suspect_rows.cpp
@@ -93,7 +93,7 @@
     const ports::StoreTime now = page->answered_at.value_or(ports::StoreTime(0));
     std::size_t taken = 0;
     for (const ports::Record& record : page->records) {
-      if (taken < settings_.most_rows && take(record, now)) {
+      if (taken < settings_.max_rows && take(record, now)) {
         ++taken;
       } else {
         write(core::RequestFingerprint(record.key), std::nullopt);
@@ -130,7 +130,7 @@
         co_await store_.commit(std::move(transaction), settings_.timeout);
     if (done) {
       written_.Increment();
-    } else if (++tries < settings_.most_write_tries) {
+    } else if (++tries < settings_.max_write_attempts) {
       co_await runtime::sleep_for(settings_.retry_delay);
       continue;
     } else {
--- a/src/node/suspect_rows.hpp
+++ b/src/node/suspect_rows.hpp
@@ -24,9 +24,9 @@
   core::Duration timeout = std::chrono::milliseconds(1000);
   core::Duration retry_delay = std::chrono::milliseconds(300);
   /// Tries of one write; a store that is away for longer has the row missing.
-  std::uint32_t most_write_tries = 100;
+  std::uint32_t max_write_attempts = 100;
   /// Rows that are read at the start.
-  std::size_t most_rows = 256;
+  std::size_t max_rows = 256;
 };
 
 /// What stands in one row.
--- a/src/ports/engine_codec.cpp
+++ b/src/ports/engine_codec.cpp
@@ -79,7 +79,7 @@
 }
 
 std::optional<core::WeightVersion> decode_version(const JsonFields& fields, const char* field) {
-  const auto version = fields.optional_whole(field);
+  const auto version = fields.optional_unsigned64(field);
   if (!version) {
     return std::nullopt;
   }
@@ -106,16 +106,16 @@
 
 EngineReport decode_report(const JsonFields& fields) {
   EngineReport report;
-  report.incarnation = core::Incarnation(fields.whole("incarnation"));
+  report.incarnation = core::Incarnation(fields.unsigned64("incarnation"));
   report.model = core::ModelName(fields.text("model"));
-  report.version = core::WeightVersion(fields.whole("version"));
+  report.version = core::WeightVersion(fields.unsigned64("version"));
   report.prefetched = decode_version(fields, "prefetched");
   report.role = decode_role(fields);
-  report.running = fields.whole32("running");
-  report.waiting = fields.whole32("waiting");
-  report.max_running = fields.whole32("max_running");
-  report.kv_used_tokens = fields.whole("kv_used_tokens");
-  report.kv_capacity_tokens = fields.whole("kv_capacity_tokens");
+  report.running = fields.unsigned32("running");
+  report.waiting = fields.unsigned32("waiting");
+  report.max_running = fields.unsigned32("max_running");
+  report.kv_used_tokens = fields.unsigned64("kv_used_tokens");
+  report.kv_capacity_tokens = fields.unsigned64("kv_capacity_tokens");
   report.tokens_per_second = fields.number("tokens_per_second");
   report.report_age = decode_milliseconds(fields, "report_age_ms");
   report.swapping = fields.flag("swapping");
@@ -125,11 +125,11 @@
 
 CacheEvents decode_cache_events(const JsonFields& fields) {
   CacheEvents events;
-  events.latest_sequence = fields.whole("latest_sequence");
+  events.latest_sequence = fields.unsigned64("latest_sequence");
   events.gap = fields.flag("gap");
   for (const JsonFields& element : fields.objects("events")) {
     CacheEvent event;
-    event.sequence = element.whole("sequence");
+    event.sequence = element.unsigned64("sequence");
     event.prefix_hash = decode_decimal(element, "prefix_hash");
     event.stored = element.flag("stored");
     events.events.push_back(event);
@@ -142,7 +142,7 @@
   for (const JsonFields& element : fields.objects("streams")) {
     StreamStatus status;
     status.stream = core::StreamId(element.text("stream_id"));
-    status.token_count = element.whole("token_count");
+    status.token_count = element.unsigned64("token_count");
     status.finished = element.flag("finished");
     if (element.has("finish_reason")) {
       status.finish_reason = decode_finish_reason(element);
@@ -154,8 +154,8 @@
 
 TokenChunk decode_chunk(const JsonFields& fields) {
   TokenChunk chunk;
-  chunk.offset = fields.whole("offset");
-  chunk.token_count = fields.whole32("token_count");
+  chunk.offset = fields.unsigned64("offset");
+  chunk.token_count = fields.unsigned32("token_count");
   chunk.text = fields.text("text");
   chunk.version = decode_version(fields, "version");
   return chunk;
@@ -209,8 +209,8 @@
     KvExport exported;
     exported.stream = stream;
     exported.handle = fields.text("handle");
-    exported.size_bytes = fields.whole("size_bytes");
-    exported.token_count = fields.whole("token_count");
+    exported.size_bytes = fields.unsigned64("size_bytes");
+    exported.token_count = fields.unsigned64("token_count");
     return exported;
   });
 }
@@ -223,7 +223,7 @@
     if (fields.has("finish_reason")) {
       StreamEnd end;
       end.reason = decode_finish_reason(fields);
-      end.token_count = fields.whole("token_count");
+      end.token_count = fields.unsigned64("token_count");
       if (end.token_count != next_offset_) {
         fields.reject("token_count", "the total differs from the tokens received");
       }
--- a/src/ports/http_machine_list.cpp
+++ b/src/ports/http_machine_list.cpp
@@ -39,7 +39,7 @@
 }
 
 std::uint16_t decode_port(const JsonFields& fields) {
-  const std::uint64_t port = fields.whole("port");
+  const std::uint64_t port = fields.unsigned64("port");
   if (port == 0 || port > std::numeric_limits<std::uint16_t>::max()) {
     fields.reject("port", "a port number is expected");
     return 0;
@@ -55,7 +55,7 @@
   machine.address = core::Address{fields.text("ip"), decode_port(fields)};
   machine.zone = core::ZoneName(fields.text("zone"));
   machine.region = core::RegionName(fields.text("region"));
-  machine.incarnation = core::Incarnation(fields.whole("incarnation"));
+  machine.incarnation = core::Incarnation(fields.unsigned64("incarnation"));
   machine.state = decode_state(fields);
   return machine;
 }
--- a/src/ports/http_table_service.cpp
+++ b/src/ports/http_table_service.cpp
@@ -14,7 +14,7 @@
   Row row;
   row.key = RowKey{table, fields.text("key")};
   row.value = fields.text("value");
-  row.revision = core::Revision(fields.whole("revision"));
+  row.revision = core::Revision(fields.unsigned64("revision"));
   row.written_by = core::WriteId(fields.text("written_by"));
   return row;
 }
@@ -69,7 +69,7 @@
 
 core::Result<core::Revision> parse_revision(const std::string& body) {
   auto revision = decode_json(
-      body, [](const JsonFields& fields) { return core::Revision(fields.whole("revision")); });
+      body, [](const JsonFields& fields) { return core::Revision(fields.unsigned64("revision")); });
   if (!revision) {
     return core::make_error(core::ErrorCode::kOutcomeUnknown,
                             "unreadable answer of a commit: " + revision.error().message);
--- a/src/ports/http_weight_store.cpp
+++ b/src/ports/http_weight_store.cpp
@@ -14,12 +14,12 @@
                                              const std::string& body) {
   return decode_json(body, [&policy](const JsonFields& fields) {
     WeightStoreStatus status;
-    status.bytes_per_second = fields.whole("bytes_per_second");
+    status.bytes_per_second = fields.unsigned64("bytes_per_second");
     for (const JsonFields& element : fields.objects("sets")) {
       WeightSet set;
       set.policy = policy;
-      set.version = core::WeightVersion(element.whole("version"));
-      set.size_bytes = element.whole("size_bytes");
+      set.version = core::WeightVersion(element.unsigned64("version"));
+      set.size_bytes = element.unsigned64("size_bytes");
       status.sets.push_back(std::move(set));
     }
     return status;
--- a/src/ports/json_fields.cpp
+++ b/src/ports/json_fields.cpp
@@ -57,7 +57,7 @@
   return value->get<bool>();
 }
 
-std::uint64_t JsonFields::whole(std::string_view field) const {
+std::uint64_t JsonFields::unsigned64(std::string_view field) const {
   const json* value = find(field);
   if (value == nullptr || !value->is_number_unsigned()) {
     reject(field, "a whole number not below zero is expected");
@@ -66,8 +66,8 @@
   return value->get<std::uint64_t>();
 }
 
-std::uint32_t JsonFields::whole32(std::string_view field) const {
-  const std::uint64_t value = whole(field);
+std::uint32_t JsonFields::unsigned32(std::string_view field) const {
+  const std::uint64_t value = unsigned64(field);
   if (value > std::numeric_limits<std::uint32_t>::max()) {
     reject(field, "the number is too large");
     return 0;
@@ -75,11 +75,11 @@
   return static_cast<std::uint32_t>(value);
 }
 
-std::optional<std::uint64_t> JsonFields::optional_whole(std::string_view field) const {
+std::optional<std::uint64_t> JsonFields::optional_unsigned64(std::string_view field) const {
   if (!has(field)) {
     return std::nullopt;
   }
-  return whole(field);
+  return unsigned64(field);
 }
 
 std::vector<JsonFields> JsonFields::objects(std::string_view field) const {
--- a/src/ports/json_fields.hpp
+++ b/src/ports/json_fields.hpp
@@ -26,10 +26,10 @@
   std::string text(std::string_view field) const;
   double number(std::string_view field) const;
   bool flag(std::string_view field) const;
-  std::uint64_t whole(std::string_view field) const;
-  std::uint32_t whole32(std::string_view field) const;
+  std::uint64_t unsigned64(std::string_view field) const;
+  std::uint32_t unsigned32(std::string_view field) const;
   /// \return nothing when the field is missing or null.
-  std::optional<std::uint64_t> optional_whole(std::string_view field) const;
+  std::optional<std::uint64_t> optional_unsigned64(std::string_view field) const;
   std::vector<JsonFields> objects(std::string_view field) const;
   bool has(std::string_view field) const;
   /// Records a fault that the caller found in a field's value.
--- a/src/ports/replica_client.hpp
+++ b/src/ports/replica_client.hpp
@@ -81,7 +81,7 @@
   /// \return the next event, or nothing at the end of a whole stream.
   virtual boost::asio::awaitable<core::Result<std::optional<TokenEvent>>> next() = 0;
   /// \return whether the framing tells a whole stream from one that was cut.
-  virtual bool end_is_certain() const = 0;
+  virtual bool can_detect_truncation() const = 0;
   virtual void cancel() = 0;
 };
 
@@ -103,12 +103,12 @@
   core::Epoch fence;
   std::uint64_t expected_order_count = 0;
 };
-enum class OrderEnd {
+enum class OrderOutcome {
   kAccepted,
-  kHolds,     ///< the replica has that version already
-  kConflict,  ///< another order is under way, or the count differs
-  kRefused,   ///< fenced, misdirected or invalid
-  kNoAnswer,  ///< may be carried out later
+  kAlreadyLoaded,  ///< the replica has that version already
+  kConflict,       ///< another order is under way, or the count differs
+  kRefused,        ///< fenced, misdirected or invalid
+  kNoAnswer,       ///< may be carried out later
 };
 
 class ReplicaClient {
@@ -119,7 +119,7 @@
   virtual boost::asio::awaitable<CallResult<StreamAnswer>> open_stream(ReplicaTarget target,
                                                                        ReplicaCall call) = 0;
   virtual boost::asio::awaitable<core::Result<ReplicaReport>> report(ReplicaTarget target) = 0;
-  virtual boost::asio::awaitable<OrderEnd> order(ReplicaTarget target, WeightOrder order) = 0;
+  virtual boost::asio::awaitable<OrderOutcome> order(ReplicaTarget target, WeightOrder order) = 0;
   /// \return whether nothing listens at the replica's address: it has ended. False when that
   /// cannot be told, as behind a cut.
   virtual boost::asio::awaitable<bool> refuses_connections(ReplicaTarget target) = 0;
--- a/src/runtime/cancellable.hpp
+++ b/src/runtime/cancellable.hpp
@@ -32,7 +32,7 @@
 }
 
 /// Ends a coroutine that was cut off while it waited for something that does not throw then.
-inline boost::asio::awaitable<void> end_if_cut() {
+inline boost::asio::awaitable<void> cancellation_point() {
   co_return;  // Asio looks at each co_await whether the caller was cancelled
 }
 
--- a/src/weights/weight_loader.cpp
+++ b/src/weights/weight_loader.cpp
@@ -15,17 +15,17 @@
   return found == replica.record.versions.end() ? core::WeightVersion() : found->second;
 }
 
-std::string_view name_of(ports::OrderEnd end) {
+std::string_view name_of(ports::OrderOutcome end) {
   switch (end) {
-    case ports::OrderEnd::kAccepted:
+    case ports::OrderOutcome::kAccepted:
       return "accepted";
-    case ports::OrderEnd::kHolds:
+    case ports::OrderOutcome::kAlreadyLoaded:
       return "holds";
-    case ports::OrderEnd::kConflict:
+    case ports::OrderOutcome::kConflict:
       return "conflict";
-    case ports::OrderEnd::kRefused:
+    case ports::OrderOutcome::kRefused:
       return "refused";
-    case ports::OrderEnd::kNoAnswer:
+    case ports::OrderOutcome::kNoAnswer:
       return "no_answer";
   }
   return "unknown";
@@ -235,19 +235,19 @@
   order.expected_order_count = order_counts_[target.id];
   orders_.Increment();
   ports::ReplicaTarget ordered = target;
-  const ports::OrderEnd end = co_await client_.order(std::move(ordered), order);
+  const ports::OrderOutcome end = co_await client_.order(std::move(ordered), order);
   core::log_decision(core::DecisionEvent::kOrderSent, {{"replica", target.id.value()},
                                                        {"model", model.value()},
                                                        {"version", version.value()},
                                                        {"fence", settings_.fence.value()},
                                                        {"count", order.expected_order_count},
                                                        {"outcome", name_of(end)}});
-  if (end == ports::OrderEnd::kAccepted) {
+  if (end == ports::OrderOutcome::kAccepted) {
     ++order_counts_[target.id];
     co_return true;
   }
   order_counts_.erase(target.id);
-  co_return end == ports::OrderEnd::kHolds;
+  co_return end == ports::OrderOutcome::kAlreadyLoaded;
 }
 
 asio::awaitable<bool> WeightLoader::wait_until_loaded(ingress::ReplicaPointer replica,
--- a/src/wire/gossip_codec.cpp
+++ b/src/wire/gossip_codec.cpp
@@ -11,15 +11,15 @@
 using Json = nlohmann::json;
 
 /// Levels of arrays that a packet of this version has, with some to spare.
-constexpr int kDeepestPacket = 8;
+constexpr int kMaxPacketDepth = 8;
 
 /// Elements of a packet; zone notices are there only when a packet has some, so that packets of
 /// ordinary times carry nothing for them.
-constexpr std::size_t kParts = 7;
-constexpr std::size_t kPartsWithZones = 8;
+constexpr std::size_t kBasePartCount = 7;
+constexpr std::size_t kPartCountWithZones = 8;
 
 enum class MessageKind : std::uint8_t {
-  kNews,
+  kStateUpdate,
   kPing,
   kAcknowledgement,
   kIndirectPing,
@@ -252,7 +252,8 @@
   for (const core::ReplicaId& replica : notice.ended) {
     ended.push_back(replica.value());
   }
-  return Json::array({notice.content.value(), notice.generation, std::move(ended), notice.left_ms});
+  return Json::array(
+      {notice.content.value(), notice.generation, std::move(ended), notice.remaining_ms});
 }
 
 bool read_suspect(const Json& json, SuspectNotice& notice) {
@@ -260,7 +261,7 @@
   notice.content = reader.next_name<core::RequestFingerprint>();
   notice.generation = reader.next_unsigned();
   notice.ended = reader.next_list<core::ReplicaId>(read_replica_id);
-  notice.left_ms = reader.next_unsigned32();
+  notice.remaining_ms = reader.next_unsigned32();
   return reader.ok();
 }
 
@@ -307,7 +308,9 @@
 }
 
 struct MessageWriter {
-  Json operator()(const News&) const { return Json::array({kind_number(MessageKind::kNews)}); }
+  Json operator()(const StateUpdate&) const {
+    return Json::array({kind_number(MessageKind::kStateUpdate)});
+  }
   Json operator()(const Ping& ping) const {
     return Json::array({kind_number(MessageKind::kPing), ping.sequence, ping.target.value()});
   }
@@ -435,8 +438,8 @@
     return false;
   }
   switch (static_cast<MessageKind>(kind)) {
-    case MessageKind::kNews:
-      message = News{};
+    case MessageKind::kStateUpdate:
+      message = StateUpdate{};
       return json.size() == 1;
     case MessageKind::kPing:
       return read_ping(json, message);
@@ -465,7 +468,7 @@
 }
 
 /// Accepts a document as long as it nests no deeper than a packet may.
-class DepthCheck : public nlohmann::json_sax<Json> {
+class DepthLimiter : public nlohmann::json_sax<Json> {
  public:
   bool null() override { return true; }
   bool boolean(bool) override { return true; }
@@ -475,9 +478,9 @@
   bool string(string_t&) override { return true; }
   bool binary(binary_t&) override { return true; }
   bool key(string_t&) override { return true; }
-  bool start_object(std::size_t) override { return ++depth_ <= kDeepestPacket; }
+  bool start_object(std::size_t) override { return ++depth_ <= kMaxPacketDepth; }
   bool end_object() override { return --depth_ >= 0; }
-  bool start_array(std::size_t) override { return ++depth_ <= kDeepestPacket; }
+  bool start_array(std::size_t) override { return ++depth_ <= kMaxPacketDepth; }
   bool end_array() override { return --depth_ >= 0; }
   bool parse_error(std::size_t, const std::string&, const Json::exception&) override {
     return false;
@@ -491,7 +494,7 @@
 /// level of nesting, and reports an absurd length by an exception even when
 /// exceptions are switched off.
 Json parse_cbor(std::string_view bytes) {
-  DepthCheck check;
+  DepthLimiter check;
   if (!Json::sax_parse(bytes.begin(), bytes.end(), &check, Json::input_format_t::cbor)) {
     return Json(Json::value_t::discarded);
   }
@@ -525,8 +528,8 @@
   if (json.is_discarded()) {
     return core::make_error(core::ErrorCode::kProtocol, "gossip packet is not CBOR");
   }
-  const bool has_zones = json.is_array() && json.size() == kPartsWithZones;
-  ArrayReader reader(json, has_zones ? kPartsWithZones : kParts);
+  const bool has_zones = json.is_array() && json.size() == kPartCountWithZones;
+  ArrayReader reader(json, has_zones ? kPartCountWithZones : kBasePartCount);
   if (reader.next_unsigned() != kGossipProtocolVersion) {
     return core::make_error(core::ErrorCode::kProtocol, "gossip packet of another version");
   }
--- a/src/wire/gossip_messages.hpp
+++ b/src/wire/gossip_messages.hpp
@@ -14,8 +14,8 @@
 namespace stoneport::wire {
 
 /// News alone, without a probe.
-struct News {
-  bool operator==(const News&) const = default;
+struct StateUpdate {
+  bool operator==(const StateUpdate&) const = default;
 };
 
 /// Asks \p target for an Acknowledgement. Another node at the same address (the
@@ -87,7 +87,7 @@
   core::RequestFingerprint content;
   std::uint64_t generation = 0;  ///< rises each time that the request is cleared
   std::vector<core::ReplicaId> ended;
-  std::uint32_t left_ms = 0;  ///< until the sender forgets it, when sent
+  std::uint32_t remaining_ms = 0;  ///< until the sender forgets it, when sent
   bool operator==(const SuspectNotice&) const = default;
 };
 
@@ -133,7 +133,7 @@
   bool operator==(const HealthReport&) const = default;
 };
 
-using GossipMessage = std::variant<News, Ping, Acknowledgement, IndirectPing, SyncRequest,
+using GossipMessage = std::variant<StateUpdate, Ping, Acknowledgement, IndirectPing, SyncRequest,
                                    DigestSubscription, DigestPush, SuspectReport, HealthReport>;
 
 /// The newest published version of a policy; the highest wins.
--- a/src/wire/gossip_sizes.cpp
+++ b/src/wire/gossip_sizes.cpp
@@ -55,7 +55,7 @@
 constexpr std::size_t kLists = 4;
 
 struct MessageSizer {
-  std::size_t operator()(const News&) const { return kShortArray + kOneByte; }
+  std::size_t operator()(const StateUpdate&) const { return kShortArray + kOneByte; }
   std::size_t operator()(const Ping& ping) const {
     return kShortArray + kOneByte + size_of(ping.sequence) + size_of(ping.target.value());
   }
@@ -137,7 +137,7 @@
 
 std::size_t encoded_size(const SuspectNotice& notice) {
   std::size_t size = kShortArray + size_of(notice.content.value()) + size_of(notice.generation) +
-                     head_bytes(notice.ended.size()) + size_of(std::uint64_t{notice.left_ms});
+                     head_bytes(notice.ended.size()) + size_of(std::uint64_t{notice.remaining_ms});
   for (const core::ReplicaId& replica : notice.ended) {
     size += size_of(replica.value());
   }
--- a/tests/contract/malformed_input_test.cpp
+++ b/tests/contract/malformed_input_test.cpp
@@ -126,7 +126,7 @@
 std::string news_of(wire::Member member) {
   wire::GossipPacket packet;
   packet.sender = std::move(member);
-  packet.message = wire::News{};
+  packet.message = wire::StateUpdate{};
   return wire::encode_packet(packet);
 }
 
--- a/tests/support/fake_replica_client.hpp
+++ b/tests/support/fake_replica_client.hpp
@@ -135,21 +135,21 @@
     co_return report;
   }
 
-  boost::asio::awaitable<ports::OrderEnd> order(ports::ReplicaTarget target,
-                                                ports::WeightOrder order) override {
+  boost::asio::awaitable<ports::OrderOutcome> order(ports::ReplicaTarget target,
+                                                    ports::WeightOrder order) override {
     co_await runtime::sleep_for(std::chrono::milliseconds(1));
     Replica& replica = replicas[target.id.value()];
     all_orders.push_back({target.id.value(), order.holder, std::chrono::steady_clock::now()});
     if (take(replica.lose_orders)) {
-      co_return ports::OrderEnd::kNoAnswer;
+      co_return ports::OrderOutcome::kNoAnswer;
     }
     if (order.expected_order_count != replica.order_count) {
-      co_return ports::OrderEnd::kConflict;
+      co_return ports::OrderOutcome::kConflict;
     }
     ++replica.order_count;
     replica.orders.push_back(order.version.value());
     replica.version = order.version.value();
-    co_return ports::OrderEnd::kAccepted;
+    co_return ports::OrderOutcome::kAccepted;
   }
 
   boost::asio::awaitable<bool> refuses_connections(ports::ReplicaTarget target) override {
@@ -212,7 +212,7 @@
       }
       co_return std::optional<ports::TokenEvent>(std::move(event));
     }
-    bool end_is_certain() const override { return true; }
+    bool can_detect_truncation() const override { return true; }
     void cancel() override {}
 
    private:
--- a/tests/unit/core/adaptive_timeout_test.cpp
+++ b/tests/unit/core/adaptive_timeout_test.cpp
@@ -31,18 +31,18 @@
 
   void begins_with_what_is_known() {
     AdaptiveTimeout timeout;
-    timeout.begin_with(milliseconds(150));
+    timeout.set_expected_latency(milliseconds(150));
     CPPUNIT_ASSERT(timeout.current() > milliseconds(890));
-    timeout.begin_with(milliseconds(560));
+    timeout.set_expected_latency(milliseconds(560));
     CPPUNIT_ASSERT(timeout.current() == milliseconds(1500));
-    timeout.begin_with(milliseconds(0));
+    timeout.set_expected_latency(milliseconds(0));
     CPPUNIT_ASSERT(timeout.current() == milliseconds(250));
   }
 
   void doubles_with_each_silence() {
     AdaptiveTimeout timeout;
     for (const int expected : {500, 1000, 1500, 1500}) {
-      timeout.on_silence();
+      timeout.on_timeout();
       CPPUNIT_ASSERT(timeout.current() == milliseconds(expected));
     }
     timeout.on_answer(milliseconds(5));
--- a/tests/unit/core/json_text_test.cpp
+++ b/tests/unit/core/json_text_test.cpp
@@ -23,10 +23,10 @@
     const std::vector<std::pair<std::string, bool>> cases = {
         {"{\"a\":[1,{\"b\":null}]}", true},
         {"7", true},
-        {nested(kDeepestJson), true},
-        {nested(kDeepestJson + 1), false},
+        {nested(kMaxJsonDepth), true},
+        {nested(kMaxJsonDepth + 1), false},
         {nested(1'000'000), false},
-        {"{\"a\":" + nested(kDeepestJson) + "}", false},
+        {"{\"a\":" + nested(kMaxJsonDepth) + "}", false},
         {"", false},
         {"{\"a\":", false},
         {"{} {}", false},
--- a/tests/unit/fleet/replica_scaler_test.cpp
+++ b/tests/unit/fleet/replica_scaler_test.cpp
@@ -107,7 +107,7 @@
       settings.plan.hold = milliseconds(150);
       settings.fence = {kPause, milliseconds(50)};
       settings.tick = milliseconds(5);
-      settings.none_there_pause = milliseconds(60);
+      settings.no_capacity_pause = milliseconds(60);
       ReplicaScaler::Inputs inputs{
           context.get_executor(), store, reader, platform, routes, directory, time, metrics};
       auto scaler = std::make_shared<ReplicaScaler>(std::move(inputs), std::move(term), settings);
--- a/tests/unit/node/caller_directory_test.cpp
+++ b/tests/unit/node/caller_directory_test.cpp
@@ -35,8 +35,8 @@
     return made;
   }
 
-  static Takers pointers(const std::vector<wire::Member>& members) {
-    Takers takers;
+  static AvailableMembers pointers(const std::vector<wire::Member>& members) {
+    AvailableMembers takers;
     for (const wire::Member& member : members) {
       takers.push_back(&member);
     }
@@ -79,7 +79,7 @@
     for (const Case& one : cases) {
       core::RandomSource random(1);
       const std::vector<wire::Member> takers = members(one.takers);
-      const std::vector<core::Address> named = addresses_for(
+      const std::vector<core::Address> named = select_caller_addresses(
           pointers(takers), {core::ZoneName("w1"), core::RegionName("w")}, one.homes, random);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(one.name, one.zones, zones_of(named));
     }
@@ -93,9 +93,9 @@
     core::RandomSource random(1);
     std::map<std::string, int> times;
     for (int answer = 0; answer < kAnswers; ++answer) {
-      const std::vector<core::Address> named = addresses_for(
+      const std::vector<core::Address> named = select_caller_addresses(
           pointers(takers), {core::ZoneName("w1"), core::RegionName("w")}, {}, random);
-      CPPUNIT_ASSERT_EQUAL(kMostAddresses, named.size());
+      CPPUNIT_ASSERT_EQUAL(kMaxCallerAddresses, named.size());
       for (const core::Address& address : named) {
         ++times[address.ip];
       }
--- a/tests/unit/node/directory_answer_test.cpp
+++ b/tests/unit/node/directory_answer_test.cpp
@@ -25,13 +25,13 @@
     members[member.node] = std::move(member);
   }
   /// \return the names in order of the alphabet: within a group the order is by chance.
-  static std::vector<std::string> names(const TakerView& view, const std::string& zone,
+  static std::vector<std::string> names(const ResponderState& view, const std::string& zone,
                                         const wire::MemberMap& members) {
     core::RandomSource random(1);
-    const CallerPlace place{core::ZoneName(zone), {}};
+    const CallerLocation place{core::ZoneName(zone), {}};
     std::vector<std::string> named;
     for (const core::Address& address :
-         addresses_for(takers_of(view, members), place, {}, random)) {
+         select_caller_addresses(available_members(view, members), place, {}, random)) {
       named.push_back(address.ip);
     }
     std::sort(named.begin(), named.end());
--- a/tests/unit/node/gossip_zone_test.cpp
+++ b/tests/unit/node/gossip_zone_test.cpp
@@ -6,8 +6,8 @@
 #include <algorithm>
 
 #include "controllers/gossip_simulation.hpp"
-#include "node/gossip_pace.hpp"
 #include "node/isolation.hpp"
+#include "node/node_gossip_settings.hpp"
 
 namespace stoneport::node {
 namespace {
@@ -32,7 +32,7 @@
   settings.seed = seed;
   settings.seeds = kMembers;
   settings.tick = std::chrono::milliseconds(50);
-  settings.gossip = gossip_pace();
+  settings.gossip = node_gossip_settings();
   return settings;
 }
 
@@ -154,7 +154,7 @@
     for (const std::uint64_t seed : {8, 9, 10}) {
       World world(seed);
       const auto is_answered = [&] {
-        return reaches_others(world.simulation.state(2).answer_silence(world.simulation.now()));
+        return can_reach_others(world.simulation.state(2).answer_silence(world.simulation.now()));
       };
       for (int step = 0; step < 100; ++step) {
         world.simulation.step();
--- a/tests/unit/node/health_exchange_test.cpp
+++ b/tests/unit/node/health_exchange_test.cpp
@@ -10,7 +10,7 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-#include "node/gossip_pace.hpp"
+#include "node/node_gossip_settings.hpp"
 
 namespace stoneport::node {
 namespace {
@@ -56,7 +56,8 @@
   Process(Fleet& fleet, boost::asio::io_context& context, const core::TimeSource& time,
           std::size_t index)
       : link(fleet, index),
-        gossip(context.get_executor(), link, member(index), gossip_pace(), index, time, metrics),
+        gossip(context.get_executor(), link, member(index), node_gossip_settings(), index, time,
+               metrics),
         health(directory, {node_id(index), member(index).zone}, index),
         exchange(context.get_executor(), gossip, health, node_id(index), index, time, metrics) {
     std::vector<ingress::ReplicaRecord> records;
@@ -92,7 +93,7 @@
     for (std::size_t index = 0; index < count; ++index) {
       Process& process = *processes[index];
       process.gossip.on_message([&process](const controllers::ReceivedMessage& message) {
-        process.exchange.hear(message);
+        process.exchange.on_message(message);
       });
       process.gossip.start();
       if (index < switched_on) {
--- a/tests/unit/node/holder_sign_test.cpp
+++ b/tests/unit/node/holder_liveness_test.cpp
@@ -1,13 +1,13 @@
 /// \file
 /// What the members' list says of the term's holder.
-#include "node/holder_sign.hpp"
+#include "node/holder_liveness.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 namespace stoneport::node {
 
-class HolderSignTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(HolderSignTest);
+class HolderLivenessTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(HolderLivenessTest);
   CPPUNIT_TEST(cases);
   CPPUNIT_TEST_SUITE_END();
 
@@ -43,11 +43,11 @@
     };
     for (const Case& one : cases) {
       const wire::MemberMap members = {{core::NodeId("n"), member("n", one.known_life, one.state)}};
-      CPPUNIT_ASSERT_MESSAGE(one.name, one.sign == holder_sign(one.holder, members));
+      CPPUNIT_ASSERT_MESSAGE(one.name, one.sign == holder_liveness(one.holder, members));
     }
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(HolderSignTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(HolderLivenessTest);
 
 }  // namespace stoneport::node
--- a/tests/unit/node/load_view_test.cpp
+++ b/tests/unit/node/load_view_test.cpp
@@ -89,7 +89,7 @@
     }
     world.add("over", "east")->suspect(kNow - seconds(5), seconds(2));
     const ZoneLoad zone = world.view().services[0].zones[0];
-    CPPUNIT_ASSERT_EQUAL(kMostAvoidedNamed, zone.avoided.size());
+    CPPUNIT_ASSERT_EQUAL(kMaxAvoidedListed, zone.avoided.size());
     CPPUNIT_ASSERT_EQUAL(5u, zone.avoided_unnamed);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), zone.avoided[0].replica.value());
     CPPUNIT_ASSERT(zone.avoided[0].is_ejected && !zone.avoided[0].is_suspect);
--- a/tests/unit/node/node_life_test.cpp
+++ b/tests/unit/node/node_incarnation_test.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/asio/io_context.hpp>
 
-#include "node/holder_sign.hpp"
+#include "node/holder_liveness.hpp"
 #include "node/node.hpp"
 #include "support/fake_record_store.hpp"
 #include "support/fake_replica_client.hpp"
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-class NodeLifeTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(NodeLifeTest);
+class NodeIncarnationTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(NodeIncarnationTest);
   CPPUNIT_TEST(the_members_do_not_take_a_new_process_for_ended);
   CPPUNIT_TEST_SUITE_END();
 
@@ -68,10 +68,10 @@
     const Node node({context.get_executor(), store, replicas, parser, time, metrics, duties},
                     settings);
     CPPUNIT_ASSERT(!node.members().empty());
-    CPPUNIT_ASSERT(holder_sign(node.life(), node.members()) == jobs::HolderSign::kUnknown);
+    CPPUNIT_ASSERT(holder_liveness(node.life(), node.members()) == jobs::HolderSign::kUnknown);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NodeLifeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(NodeIncarnationTest);
 
 }  // namespace stoneport::node
--- a/tests/unit/node/suspect_exchange_test.cpp
+++ b/tests/unit/node/suspect_exchange_test.cpp
@@ -8,7 +8,7 @@
 #include <boost/asio/detached.hpp>
 #include <boost/asio/io_context.hpp>
 
-#include "node/gossip_pace.hpp"
+#include "node/node_gossip_settings.hpp"
 #include "support/fake_replica_client.hpp"
 
 namespace stoneport::node {
@@ -78,7 +78,7 @@
     ingress::ReplicaDirectory directory;
     ingress::CrashGuard guard{directory, client, time, metrics};
     controllers::GossipController gossip{
-        context.get_executor(), network, member(0), gossip_pace(), 7, time, metrics};
+        context.get_executor(), network, member(0), node_gossip_settings(), 7, time, metrics};
     SuspectExchange exchange{
         context.get_executor(),   gossip, guard, core::NodeId("node-0"), 7, time, metrics,
         SuspectExchangeSettings()};
--- a/tests/unit/ports/guarded_table_service_test.cpp
+++ b/tests/unit/ports/guarded_table_service_test.cpp
@@ -187,15 +187,15 @@
   }
 
   int reads_until_refused(GuardedTableService& guard, TablePriority priority) {
-    constexpr int kMostReads = 100;
-    for (int count = 0; count < kMostReads; ++count) {
+    constexpr int kMaxReads = 100;
+    for (int count = 0; count < kMaxReads; ++count) {
       const auto row = support::run_task(context_, guard.read(kKey, priority));
       if (!row) {
         CPPUNIT_ASSERT(row.error().code == ErrorCode::kRateLimited);
         return count;
       }
     }
-    return kMostReads;
+    return kMaxReads;
   }
 
   core::SystemTimeSource clock_;
--- a/tests/unit/runtime/leaf_trap_test.cpp
+++ b/tests/unit/runtime/leaf_error_test.cpp
@@ -42,8 +42,8 @@
   return result.get();
 }
 
-class LeafTrapTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LeafTrapTest);
+class LeafErrorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LeafErrorTest);
   CPPUNIT_TEST(leaf_error_object_is_lost_over_co_await);
   CPPUNIT_TEST(leaf_error_object_arrives_within_one_synchronous_scope);
   CPPUNIT_TEST(result_arrives_whole_over_co_await);
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("another revision"), run(task));
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(LeafTrapTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LeafErrorTest);
 
 }  // namespace
 }  // namespace stoneport::runtime
--- a/tests/unit/wire/gossip_codec_test.cpp
+++ b/tests/unit/wire/gossip_codec_test.cpp
@@ -77,7 +77,7 @@
 std::vector<GossipMessage> all_messages() {
   ReplicaReport without_prefixes = full_report();
   without_prefixes.cached_prefixes = std::nullopt;
-  return {News{},
+  return {StateUpdate{},
           Ping{1, core::NodeId("node-2")},
           Acknowledgement{1, core::NodeId("node-2")},
           IndirectPing{2, core::NodeId("node-3"), {"10.0.0.3", 7000}},
@@ -95,7 +95,8 @@
 }
 
 /// \return a valid packet, as JSON, after \p damage.
-std::string damaged(const std::function<void(Json&)>& damage, GossipMessage message = News{}) {
+std::string damaged(const std::function<void(Json&)>& damage,
+                    GossipMessage message = StateUpdate{}) {
   const std::string bytes = encode_packet(full_packet(std::move(message)));
   Json json = Json::from_cbor(bytes);
   damage(json);
@@ -179,7 +180,7 @@
         {"an absurd array length", std::string("\x9b\xff\xff\xff\xff\xff\xff\xff\xff", 9)},
         {"an absurd text length", std::string("\x7b\xff\xff\xff\xff\xff\xff\xff\xff", 9)},
         {"deep nesting", std::string(kMaxPacketBytes, '\x81')},
-        {"trailing bytes", encode_packet(full_packet(News{})) + "x"},
+        {"trailing bytes", encode_packet(full_packet(StateUpdate{})) + "x"},
         {"too few elements", damaged([](Json& packet) { packet.erase(4); })},
         {"too many elements", damaged([](Json& packet) { packet.push_back(1); })},
         {"another version", damaged([](Json& packet) { packet[0] = 2; })},
