--- a/src/core/adaptive_timeout.hpp
+++ b/src/core/adaptive_timeout.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How long to wait for an answer that may be lost: a few times the usual latency,
-/// and twice as long after each one that did not come. Plain code.
+/// Request timeout that follows the moving average of the latency and doubles after each
+/// request that timed out. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 struct AdaptiveTimeoutSettings {
   Duration shortest = std::chrono::milliseconds(250);
   Duration longest = std::chrono::milliseconds(1500);
-  double latency_multiple = 6;  ///< of the usual latency
-  double latency_weight = 0.2;  ///< of the newest answer in the moving average
+  double latency_multiple = 6;  ///< timeout as a multiple of the average latency
+  double latency_weight = 0.2;  ///< weight of the newest latency in the moving average
 };
 
 class AdaptiveTimeout {
@@ -21,23 +21,23 @@
   explicit AdaptiveTimeout(AdaptiveTimeoutSettings settings = {}) : settings_(settings) {}
 
   Duration current() const {
-    const Duration usual = from_seconds(usual_seconds_ * settings_.latency_multiple);
-    return std::clamp(std::max(usual, settings_.shortest) * doublings_, settings_.shortest,
+    const Duration base = from_seconds(average_seconds_ * settings_.latency_multiple);
+    return std::clamp(std::max(base, settings_.shortest) * backoff_factor_, settings_.shortest,
                       settings_.longest);
   }
-  /// Begins with a latency that is known from elsewhere.
-  void set_expected_latency(Duration latency) { usual_seconds_ = to_seconds(latency); }
+  /// Replaces the average latency, for example by one measured on another connection.
+  void set_expected_latency(Duration latency) { average_seconds_ = to_seconds(latency); }
   void on_answer(Duration latency) {
-    doublings_ = 1;
-    usual_seconds_ += settings_.latency_weight * (to_seconds(latency) - usual_seconds_);
+    backoff_factor_ = 1;
+    average_seconds_ += settings_.latency_weight * (to_seconds(latency) - average_seconds_);
   }
-  void on_timeout() { doublings_ = std::min(doublings_ * 2, kMaxDoublings); }
+  void on_timeout() { backoff_factor_ = std::min(backoff_factor_ * 2, kMaxBackoffFactor); }
 
  private:
-  static constexpr int kMaxDoublings = 16;
+  static constexpr int kMaxBackoffFactor = 16;
   AdaptiveTimeoutSettings settings_;
-  double usual_seconds_ = 0;
-  int doublings_ = 1;
+  double average_seconds_ = 0;
+  int backoff_factor_ = 1;
 };
 
 }  // namespace stoneport::core
--- a/src/core/backoff.hpp
+++ b/src/core/backoff.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Exponential back-off with jitter. Plain code.
+/// Exponential backoff with jitter.
 #pragma once
 
 #include <algorithm>
@@ -15,14 +15,14 @@
   Duration longest = std::chrono::seconds(2);
 };
 
-/// \return the wait before the retry that follows failed attempt number
-/// \p attempt (from 0): between a half and the whole of first * 2^attempt.
+/// \return the delay before the retry that follows failed attempt \p attempt (counted from 0):
+/// a random time between half and all of first * 2^attempt, which is capped at longest.
 inline Duration backoff_delay(const BackoffSettings& settings, std::uint32_t attempt,
                               RandomSource& random) {
   constexpr std::uint32_t kMaxDoublings = 20;
   const std::int64_t factor = std::int64_t{1} << std::min(attempt, kMaxDoublings);
-  const Duration whole = std::min(settings.first * factor, settings.longest);
-  return from_seconds(to_seconds(whole) * (0.5 + 0.5 * random.fraction()));
+  const Duration full_delay = std::min(settings.first * factor, settings.longest);
+  return from_seconds(to_seconds(full_delay) * (0.5 + 0.5 * random.fraction()));
 }
 
 }  // namespace stoneport::core
--- a/src/core/decision_log.cpp
+++ b/src/core/decision_log.cpp
@@ -17,7 +17,7 @@
   std::string_view name;
 };
 
-/// Names of the events, in the order of the enumeration.
+/// Names of the events, in the order of DecisionEvent.
 constexpr std::array kEventNames = {
     EventName{DecisionEvent::kProcessStart, "process_start"},
     EventName{DecisionEvent::kProcessStop, "process_stop"},
@@ -61,19 +61,20 @@
 };
 static_assert(kEventNames.size() == static_cast<std::size_t>(DecisionEvent::kLast) + 1);
 
-/// Process-wide, like the logger that it writes to.
+/// Process-wide state, like the spdlog registry that holds its logger.
 struct DecisionLogState {
   DecisionLogSettings settings;
   std::shared_ptr<spdlog::logger> logger;
   double tokens = 0;
-  MonotonicTime refilled{};
+  MonotonicTime refilled_at{};
   std::uint64_t dropped = 0;
-  std::uint64_t dropped_told = 0;
+  std::uint64_t dropped_reported = 0;
 
-  bool take(DecisionWeight weight, MonotonicTime now) {
-    const double gained = to_seconds(now - refilled) * settings.lines_per_second;
+  /// \return whether the rate limit admits a line; otherwise counts it as dropped.
+  bool admit(DecisionWeight weight, MonotonicTime now) {
+    const double gained = to_seconds(now - refilled_at) * settings.lines_per_second;
     tokens = std::min(settings.burst, tokens + gained);
-    refilled = now;
+    refilled_at = now;
     const bool is_routine = weight == DecisionWeight::kRoutine;
     const double reserve = is_routine ? settings.burst * settings.reserve_share : 0;
     if (tokens < reserve + 1) {
@@ -102,7 +103,7 @@
   fresh.logger = spdlog::stdout_logger_st("decisions");
   fresh.logger->set_pattern("%v");
   fresh.tokens = fresh.settings.burst;
-  fresh.refilled = std::chrono::time_point_cast<Duration>(MonotonicClock::now());
+  fresh.refilled_at = std::chrono::time_point_cast<Duration>(MonotonicClock::now());
   state() = std::move(fresh);
 }
 
@@ -111,16 +112,16 @@
     return;
   }
   const auto now = std::chrono::time_point_cast<Duration>(MonotonicClock::now());
-  if (!state()->take(weight, now)) {
+  if (!state()->admit(weight, now)) {
     return;
   }
   const auto wall = std::chrono::system_clock::now().time_since_epoch();
   fields["event"] = to_string(event);
   fields["node"] = state()->settings.process;
   fields["at_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(wall).count();
-  if (state()->dropped > state()->dropped_told) {
-    fields["lines_dropped"] = state()->dropped - state()->dropped_told;
-    state()->dropped_told = state()->dropped;
+  if (state()->dropped > state()->dropped_reported) {
+    fields["lines_dropped"] = state()->dropped - state()->dropped_reported;
+    state()->dropped_reported = state()->dropped;
   }
   state()->logger->info(write_json(fields));
   state()->logger->flush();
--- a/src/core/decision_log.hpp
+++ b/src/core/decision_log.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// One JSON line on standard output for each decision that touches a request or
-/// changes what the process believes. Bounded: above a rate, lines of requests that
-/// went well are dropped first, then all others; drops are counted and told.
-/// Belongs to the thread that installed it.
+/// Decision log: one JSON line on standard output for each decision about a request and each
+/// change of the process's state. The rate is limited: lines about routine events are dropped
+/// first, then all others, and the next line that is written reports the number of dropped ones.
+/// Use it only on the thread that installed it.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace stoneport::core {
 
-/// Every kind of line; docs/LOGS.md has a row for each.
+/// Kinds of lines; docs/LOGS.md documents each of them.
 enum class DecisionEvent {
   kProcessStart,
   kProcessStop,
@@ -57,17 +57,17 @@
   kReplicaAvoided,
   kLast = kReplicaAvoided,
 };
-/// \return the name that stands in the line, such as "job_accepted".
+/// \return the value of the line's "event" field, such as "job_accepted".
 std::string_view to_string(DecisionEvent event);
 
-/// Whether a line may be dropped before others.
+/// Priority of a line when the rate limit is reached: routine lines are dropped first.
 enum class DecisionWeight { kRoutine, kImportant };
 
 struct DecisionLogSettings {
-  std::string process;  ///< stands in each line
+  std::string process;  ///< value of the "node" field of each line
   double lines_per_second = 60;
   double burst = 300;
-  /// Share of the burst that routine lines leave to important ones.
+  /// Share of the burst that is reserved for important lines.
   double reserve_share = 0.5;
 };
 
@@ -76,7 +76,7 @@
 /// Writes one line; does nothing before install_decision_log().
 void log_decision(DecisionEvent event, nlohmann::json fields,
                   DecisionWeight weight = DecisionWeight::kImportant);
-/// \return lines dropped for the rate since the start.
+/// \return the number of lines dropped by the rate limit since the start.
 std::uint64_t dropped_decisions();
 
 }  // namespace stoneport::core
--- a/src/core/error.hpp
+++ b/src/core/error.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Outcomes as values. Result<T> crosses co_await; Boost.LEAF stays inside one
-/// synchronous scope (docs/design/errors.md).
+/// Error codes and Result<T>. Coroutines return Result<T>; Boost.LEAF is used only within one
+/// synchronous scope, because its error objects are lost across co_await (docs/design/errors.md).
 #pragma once
 
 #include <boost/system/result.hpp>
@@ -14,37 +14,37 @@
 
 namespace stoneport::core {
 
-/// What went wrong, in terms that a caller can act on.
+/// Classes of errors, by what the caller can do about them.
 enum class ErrorCode {
-  kInvalidArgument,   ///< the input breaks a stated rule; repeating cannot help
-  kNotFound,          ///< the named thing does not exist
-  kConflict,          ///< a conditional write met another revision
-  kFenced,            ///< a higher epoch is in force; this holder must stop
-  kUnavailable,       ///< the other side refused or could not be reached; nothing took effect
+  kInvalidArgument,   ///< the input is invalid; a retry cannot succeed
+  kNotFound,          ///< the named object does not exist
+  kConflict,          ///< a conditional write found another revision
+  kFenced,            ///< a higher epoch exists; the caller must stop acting as the holder
+  kUnavailable,       ///< the service refused or could not be reached; nothing took effect
   kRateLimited,       ///< refused by a rate limit; nothing took effect
   kOutcomeUnknown,    ///< the effect may or may not have happened
-  kDeadlineExceeded,  ///< the time allowed ran out
-  kCancelled,         ///< given up by our own side
-  kTruncated,         ///< a body or stream ended before its end was seen
-  kProtocol,          ///< the other side broke the protocol
+  kDeadlineExceeded,  ///< the deadline passed
+  kCancelled,         ///< cancelled by this process
+  kTruncated,         ///< a body or stream was cut off before its end
+  kProtocol,          ///< the peer violated the protocol
   kTooLarge,          ///< a size limit was exceeded
-  kOverloaded,        ///< shed by our own limits; nothing was run
-  kInternal,          ///< none of the above
+  kOverloaded,        ///< rejected by this process's own load limits; nothing was run
+  kInternal,          ///< any other error
 };
 
-/// \return the code's name as written in JSON errors and logs, such as "not_found".
+/// \return the code's name in JSON errors and logs, such as "not_found".
 std::string_view to_string(ErrorCode code);
 
 struct Error {
   ErrorCode code = ErrorCode::kInternal;
   std::string message;
-  /// When to try again, where the failing side said so or we know.
+  /// Time after which a retry makes sense, if known.
   std::optional<Duration> retry_after = std::nullopt;
 };
 
 [[noreturn]] inline void throw_exception_from_error(const Error& error,
                                                     const boost::source_location&) {
-  throw std::logic_error("value() taken from a failed result: " + error.message);
+  throw std::logic_error("value() called on a failed result: " + error.message);
 }
 
 template <class T>
--- a/src/core/hash.hpp
+++ b/src/core/hash.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Hashing by xxHash, the same on every machine and in every run.
+/// Hash functions (xxHash) whose results are the same on every machine and in every run.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,10 @@
 
 namespace stoneport::core {
 
-/// \return the 64-bit XXH3 hash of \p text under \p seed.
+/// \return the 64-bit XXH3 hash of \p text with \p seed.
 std::uint64_t hash64(std::string_view text, std::uint64_t seed = 0);
 
-/// Weight of \p member for \p key in rendezvous (highest random weight) hashing.
+/// \return the weight of \p member for \p key in rendezvous (highest random weight) hashing.
 std::uint64_t rendezvous_weight(std::string_view key, std::string_view member);
 
 }  // namespace stoneport::core
--- a/src/core/identifiers.hpp
+++ b/src/core/identifiers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Identifiers as distinct types, so that a tenant cannot be passed for a model.
+/// Strongly typed identifiers, so that for example a tenant cannot be passed as a model.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 
 namespace stoneport::core {
 
-/// A name with a type of its own; ordered and hashable.
+/// String identifier of a distinct type per Tag; ordered and hashable.
 template <class Tag>
 class Name {
  public:
@@ -25,7 +25,7 @@
   std::string value_;
 };
 
-/// A counter with a type of its own. Zero means "none yet".
+/// Counter of a distinct type per Tag. Zero means "none yet".
 template <class Tag>
 class Counter {
  public:
@@ -48,52 +48,52 @@
   return out << counter.value();
 }
 
-using NodeId = Name<struct NodeIdTag>;  ///< one daemon process's machine
-/// One life of one engine or one service instance: see replica_life().
+using NodeId = Name<struct NodeIdTag>;  ///< machine that runs one daemon process
+/// One run of an engine or service instance between two restarts: see replica_life().
 using ReplicaId = Name<struct ReplicaIdTag>;
-using ServiceName = Name<struct ServiceNameTag>;    ///< an ordinary service
-using ModelName = Name<struct ModelNameTag>;        ///< a model that engines serve
-using PolicyName = Name<struct PolicyNameTag>;      ///< a policy under training
-using AdapterName = Name<struct AdapterNameTag>;    ///< an adapter loaded on a model
-using TenantName = Name<struct TenantNameTag>;      ///< whose parameters apply
-using EventName = Name<struct EventNameTag>;        ///< a scheduled rollout event
-using TemplateName = Name<struct TemplateNameTag>;  ///< a published template
+using ServiceName = Name<struct ServiceNameTag>;    ///< service that is not a model engine
+using ModelName = Name<struct ModelNameTag>;        ///< model served by engines
+using PolicyName = Name<struct PolicyNameTag>;      ///< policy under training
+using AdapterName = Name<struct AdapterNameTag>;    ///< adapter loaded on a model
+using TenantName = Name<struct TenantNameTag>;      ///< tenant that a request is attributed to
+using EventName = Name<struct EventNameTag>;        ///< scheduled rollout event
+using TemplateName = Name<struct TemplateNameTag>;  ///< published template
 using ZoneName = Name<struct ZoneNameTag>;
 using RegionName = Name<struct RegionNameTag>;
 using StreamId = Name<struct StreamIdTag>;  ///< one generation on an engine
 using WriteId = Name<struct WriteIdTag>;    ///< one write to the table service
-/// What a request asks for, whatever its id
+/// Hash of a request's content, without its request id.
 using RequestFingerprint = Name<struct RequestFingerprintTag>;
 
-using WeightVersion = Counter<struct WeightVersionTag>;  ///< grows with each published policy
-using Epoch = Counter<struct EpochTag>;                  ///< fencing token; higher wins
-using Incarnation = Counter<struct IncarnationTag>;      ///< one life of a process
-using Revision = Counter<struct RevisionTag>;            ///< of a table row or a configuration
+using WeightVersion = Counter<struct WeightVersionTag>;  ///< version of published policy weights
+using Epoch = Counter<struct EpochTag>;                  ///< fencing token; the higher one wins
+using Incarnation = Counter<struct IncarnationTag>;      ///< number of one run of a process
+using Revision = Counter<struct RevisionTag>;            ///< revision of a row or configuration
 using StepNumber = Counter<struct StepNumberTag>;        ///< training step within an event
 
-/// Names of replicas hold no blank.
+/// Separates name and start time in a ReplicaId; replica names contain no space.
 inline constexpr char kLifeSeparator = ' ';
 
-/// \return the id of the life of \p name that began at \p born, in Unix milliseconds. A replica
-/// may start again under the name that it had and knows nothing of before; as each life has an id
-/// of its own, nothing that is kept by id outlives it.
+/// \return the id of the run of replica \p name that started at \p born (Unix milliseconds). A
+/// replica that restarts under the same name has lost its state; because each run has its own id,
+/// state that is stored by id never carries over to the next run.
 inline ReplicaId replica_life(const std::string& name, std::uint64_t born) {
   return ReplicaId(name + kLifeSeparator + std::to_string(born));
 }
-/// \return the name that all lives of a replica share.
+/// \return the name that a replica keeps across restarts.
 inline std::string replica_name(const ReplicaId& life) {
   return life.value().substr(0, life.value().find(kLifeSeparator));
 }
 
-/// One place in a step: which prompt, and which of its samples. The identity of
-/// a sample, whichever attempt produced it.
+/// Identifies a sample of a step by its prompt and its number within the prompt, independent of
+/// the attempt that produced it.
 struct SlotId {
   std::uint32_t prompt = 0;
   std::uint32_t sample = 0;
   auto operator<=>(const SlotId&) const = default;
 };
 
-/// Address of a listener: an IP number and a port.
+/// IP address and port of a listener.
 struct Address {
   std::string ip;
   std::uint16_t port = 0;
--- a/src/core/json_text.cpp
+++ b/src/core/json_text.cpp
@@ -4,13 +4,13 @@
 
 namespace stoneport::core {
 
-std::optional<nlohmann::json> parse_json(std::string_view text, int deepest) {
+std::optional<nlohmann::json> parse_json(std::string_view text, int max_depth) {
   bool too_deep = false;
-  const auto within_depth = [&too_deep, deepest](int depth, nlohmann::json::parse_event_t event,
-                                                 nlohmann::json&) {
+  const auto within_depth = [&too_deep, max_depth](int depth, nlohmann::json::parse_event_t event,
+                                                   nlohmann::json&) {
     const bool opens = event == nlohmann::json::parse_event_t::object_start ||
                        event == nlohmann::json::parse_event_t::array_start;
-    too_deep = too_deep || (opens && depth >= deepest);
+    too_deep = too_deep || (opens && depth >= max_depth);
     return !too_deep;
   };
   nlohmann::json value = nlohmann::json::parse(text, within_depth, false);
--- a/src/core/json_text.hpp
+++ b/src/core/json_text.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// JSON text from and to outside: bounded in depth, since copying and writing a
-/// value recurse once a level, and safe against bytes that are no valid UTF-8.
+/// Parsing and serialization of untrusted JSON. The nesting depth is limited, because copying and
+/// serializing a value recurse once per level; invalid UTF-8 is handled.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,17 +10,17 @@
 
 namespace stoneport::core {
 
-/// Deeper documents are refused by parse_json().
+/// Default nesting limit of parse_json().
 inline constexpr int kMaxJsonDepth = 32;
 
-/// \return the value that \p text holds; nothing when it is no JSON or nests
-/// arrays and objects more than \p deepest levels.
-std::optional<nlohmann::json> parse_json(std::string_view text, int deepest = kMaxJsonDepth);
+/// \return the parsed value; nullopt if \p text is not valid JSON or nests arrays and objects more
+/// than \p max_depth levels deep.
+std::optional<nlohmann::json> parse_json(std::string_view text, int max_depth = kMaxJsonDepth);
 
 /// \return whether \p text is valid UTF-8.
 bool is_utf8(std::string_view text);
 
-/// \return \p value as compact JSON, with U+FFFD in the place of invalid UTF-8.
+/// \return \p value as compact JSON, with invalid UTF-8 replaced by U+FFFD.
 std::string write_json(const nlohmann::json& value);
 
 }  // namespace stoneport::core
--- a/src/core/logging.cpp
+++ b/src/core/logging.cpp
@@ -14,7 +14,7 @@
 constexpr std::array<std::string_view, 6> kLevels = {"trace", "debug", "info",
                                                      "warn",  "error", "off"};
 
-/// Escapes the message for a JSON line: spdlog's "%v" writes it as it is.
+/// Formats the message as a quoted JSON string, because spdlog's "%v" does not escape it.
 class JsonMessageFlag : public spdlog::custom_flag_formatter {
  public:
   void format(const spdlog::details::log_msg& message, const std::tm&,
--- a/src/core/logging.hpp
+++ b/src/core/logging.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Process-wide logger over spdlog. Lines are written for changes of state
-/// only; everything that recurs is a counter.
+/// Process-wide logger based on spdlog. Only state changes are logged; recurring events are
+/// counted as metrics instead.
 #pragma once
 
 #include <string>
@@ -14,11 +14,11 @@
 struct LogSettings {
   std::string level = "info";  ///< trace, debug, info, warn, error, off
   LogFormat format = LogFormat::kHuman;
-  std::string component;  ///< program and node, stands in each line
+  std::string component;  ///< program and node, written in each line
 };
 
-/// Installs the default spdlog logger, writing to standard error.
-/// \return kInvalidArgument for an unknown level.
+/// Installs the default spdlog logger, which writes to standard error.
+/// \return kInvalidArgument if the level is unknown.
 Result<void> install_logger(const LogSettings& settings);
 
 /// Changes the level of the installed logger.
--- a/src/core/metrics.hpp
+++ b/src/core/metrics.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Counters and gauges over prometheus-cpp. The registry is shared by every
-/// thread; a Counter or Gauge may be raised from any thread without a lock.
+/// Metrics based on prometheus-cpp. The registry is shared by all threads; a Counter or Gauge may
+/// be updated from any thread without a lock.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -16,20 +16,20 @@
 
 using Labels = std::map<std::string, std::string>;
 
-/// Names and holds the metrics of one process. Look metrics up once, when a
-/// component is built, and keep the reference: the look-up takes a lock.
+/// Holds the metrics of one process. A lookup takes a lock: look a metric up once, when a
+/// component is constructed, and keep the reference.
 class Metrics {
  public:
   Metrics();
-  /// \param name full metric name with unit suffix, such as stoneport_gossip_packets_total
+  /// \param name full metric name with its suffix, such as stoneport_gossip_packets_total
   prometheus::Counter& counter(const std::string& name, const std::string& help,
                                const Labels& labels = {});
   prometheus::Gauge& gauge(const std::string& name, const std::string& help,
                            const Labels& labels = {});
-  /// Histogram of seconds, with buckets from 100 microseconds to 10 minutes.
+  /// Returns a histogram of durations, with buckets from 100 microseconds to 10 minutes.
   prometheus::Histogram& seconds_histogram(const std::string& name, const std::string& help,
                                            const Labels& labels = {});
-  /// \return every metric in Prometheus text exposition format.
+  /// \return all metrics in Prometheus text exposition format.
   std::string to_text() const;
 
  private:
--- a/src/core/numbers.hpp
+++ b/src/core/numbers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whole numbers from text. Plain code.
+/// Strict parsing of integers.
 #pragma once
 
 #include <charconv>
@@ -10,8 +10,8 @@
 
 namespace stoneport::core {
 
-/// \return the number that all of \p text spells in \p base; nothing for empty
-/// text, other characters (spaces and '+' included) or a number that does not fit.
+/// \return the integer that \p text represents in \p base; nullopt if the text is empty, contains
+/// any other character (including spaces and '+') or is out of range for Number.
 template <std::integral Number>
 std::optional<Number> parse_number(std::string_view text, int base = 10) {
   Number value = 0;
--- a/src/core/random.hpp
+++ b/src/core/random.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Seeded random numbers by Boost.Random, whose distributions give the same
-/// sequence on every platform (the standard library's do not promise that).
+/// Seeded random numbers. Boost.Random's distributions produce the same sequence on every
+/// platform, which the standard library's do not guarantee.
 #pragma once
 
 #include <boost/random/bernoulli_distribution.hpp>
@@ -13,11 +13,11 @@
 
 namespace stoneport::core {
 
-/// One stream of random numbers. Not safe to share between threads.
+/// Random number generator. Not thread-safe.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
-  /// \return a whole number in [\p low, \p high], both included.
+  /// \return an integer in the closed interval [\p low, \p high].
   std::uint64_t uniform(std::uint64_t low, std::uint64_t high) {
     return boost::random::uniform_int_distribution<std::uint64_t>(low, high)(engine_);
   }
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Time types. Decision code takes a MonotonicTime as input and never reads a
-/// clock; only daemons, programs and tests own a TimeSource.
+/// Time types and clocks. Decision code takes a MonotonicTime as input and never reads a clock;
+/// only daemons, programs and tests own a TimeSource.
 #pragma once
 
 #include <time.h>
@@ -11,11 +11,11 @@
 
 using Duration = std::chrono::microseconds;
 
-/// The time since the machine started, with the time that it was suspended. The standard
-/// library's steady clock leaves that out: a lease, a silence or a time limit measured by it would
-/// seem younger, by as long as the machine was away, than all others know it to be. Timers of the
-/// event loop still run on the steady clock, so that a wait across a suspension ends late by at
-/// most what was left of it; whatever decides compares points of this clock.
+/// Clock of the time since boot that includes time spent in suspend (CLOCK_BOOTTIME). The standard
+/// library's steady clock stops during suspend, so that after a resume this process would
+/// underestimate the age of leases and timeouts compared with the rest of the cluster. Event loop
+/// timers still use the steady clock, so a wait that spans a suspend fires late, by at most the
+/// time that remained when it began; decisions therefore compare points of this clock.
 struct MonotonicClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -24,17 +24,17 @@
   static constexpr bool is_steady = true;
   static time_point now() noexcept {
     timespec now{};
-    clock_gettime(CLOCK_BOOTTIME, &now);  // cannot fail: the clock exists and the target is ours
+    clock_gettime(CLOCK_BOOTTIME, &now);  // cannot fail: the clock and the pointer are valid
     return time_point(std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec));
   }
 };
-/// Point on the process's monotonic clock, at microsecond resolution.
+/// Point on the monotonic clock, with microsecond resolution.
 using MonotonicTime = std::chrono::time_point<MonotonicClock, Duration>;
-/// Milliseconds since the Unix epoch; for records and scheduled starts only,
-/// never for leases or deadlines.
+/// Milliseconds since the Unix epoch. Used for records and scheduled starts only, never for leases
+/// or deadlines.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
-/// Source of both clocks, so that tests can supply virtual time.
+/// Interface to both clocks, so that tests can supply virtual time.
 class TimeSource {
  public:
   virtual ~TimeSource() = default;
@@ -42,7 +42,7 @@
   virtual WallTime wall_now() const = 0;
 };
 
-/// Clocks of the operating system.
+/// TimeSource that reads the operating system's clocks.
 class SystemTimeSource : public TimeSource {
  public:
   MonotonicTime now() const override {
@@ -54,7 +54,7 @@
   }
 };
 
-/// Clock that a test moves by hand.
+/// TimeSource that tests advance explicitly.
 class ManualTimeSource : public TimeSource {
  public:
   MonotonicTime now() const override { return now_; }
--- a/src/core/token_bucket.hpp
+++ b/src/core/token_bucket.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Token bucket with reserves. Plain code; owned by one thread.
+/// Token bucket with priority reserves. Not thread-safe.
 #pragma once
 
 #include "core/time.hpp"
@@ -8,19 +8,19 @@
 
 struct TokenBucketSettings {
   double tokens_per_second = 50;
-  double burst = 50;  ///< most tokens kept; at least 1
+  double burst = 50;  ///< capacity; at least 1
 };
 
-/// Fills at a fixed rate up to its burst. A caller states a reserve: the tokens
-/// that must be left for more urgent callers after its own was taken.
+/// Refills at a fixed rate up to its capacity. Each caller passes a reserve: the number of tokens
+/// that must remain for more urgent callers after it has taken its own.
 class TokenBucket {
  public:
   TokenBucket(TokenBucketSettings settings, MonotonicTime now);
 
-  /// Takes one token if \p reserve are left after it.
+  /// Takes one token if at least \p reserve tokens remain afterwards.
   bool try_take(MonotonicTime now, double reserve);
-  /// \return how long until try_take() can succeed if nobody else takes one;
-  /// a reserve above the burst less one counts as the burst less one.
+  /// \return the time until try_take() can succeed if no other caller takes a token. A reserve
+  /// above burst - 1 is treated as burst - 1.
   Duration wait_for(MonotonicTime now, double reserve) const;
   double available(MonotonicTime now) const;
 
--- a/src/core/work_pacer.hpp
+++ b/src/core/work_pacer.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Spaces out work whose cost grows with the fleet, so that it takes no more than a share of
-/// the time of the thread that does it, however large the fleet and however small the machine.
+/// Paces recurring work whose cost grows with the fleet, so that it uses at most a given share of
+/// its thread's time regardless of fleet size and machine speed.
 #pragma once
 
 #include <algorithm>
@@ -10,22 +10,22 @@
 namespace stoneport::core {
 
 struct WorkPacerSettings {
-  double share = 0.1;            ///< of the thread's time that the work may take
-  Duration shortest_interval{};  ///< between two beginnings, when the work costs nothing
-  Duration longest_interval{};   ///< more than this is not waited, whatever the work costs
+  double share = 0.1;            ///< largest share of the thread's time for the work
+  Duration shortest_interval{};  ///< minimum time between two starts, however cheap the work
+  Duration longest_interval{};   ///< maximum time between two starts, however costly the work
 };
 
 class WorkPacer {
  public:
   explicit WorkPacer(WorkPacerSettings settings) : settings_(settings) {}
 
-  /// The work began at \p began and ended at \p ended.
+  /// Records a run of the work from \p began to \p ended.
   void note(MonotonicTime began, MonotonicTime ended) {
     began_ = began;
     const Duration wanted = from_seconds(to_seconds(ended - began) / settings_.share);
     interval_ = std::clamp(wanted, settings_.shortest_interval, settings_.longest_interval);
   }
-  /// \return how long the next beginning has to wait; zero when it is due.
+  /// \return the time until the next start is due; zero if it is due now.
   Duration wait(MonotonicTime now) const {
     const Duration left = interval_ - (now - began_);
     return std::max(left, Duration(0));
--- a/src/wire/gossip_codec.cpp
+++ b/src/wire/gossip_codec.cpp
@@ -10,11 +10,11 @@
 
 using Json = nlohmann::json;
 
-/// Levels of arrays that a packet of this version has, with some to spare.
+/// Nesting limit; higher than the depth of any packet of this version.
 constexpr int kMaxPacketDepth = 8;
 
-/// Elements of a packet; zone notices are there only when a packet has some, so that packets of
-/// ordinary times carry nothing for them.
+/// Number of elements of a packet. The list of zone notices is present only if it is not empty, so
+/// that it costs nothing while no zone is evacuated.
 constexpr std::size_t kBasePartCount = 7;
 constexpr std::size_t kPartCountWithZones = 8;
 
@@ -30,8 +30,8 @@
   kHealthReport,
 };
 
-/// Reads the elements of one array in order. After the first error every
-/// further read gives a zero value, and ok() stays false.
+/// Reads the elements of an array in order. After the first error ok() is false and each further
+/// read returns a zero value.
 class ArrayReader {
  public:
   ArrayReader(const Json& array, std::size_t expected_size)
@@ -84,7 +84,7 @@
         static_cast<std::uint16_t>(next_unsigned(std::numeric_limits<std::uint16_t>::max()));
     return address;
   }
-  /// Reads an array of any length, each element by \p read_item.
+  /// Reads an array of any length and decodes each element with \p read_item.
   template <class Item, class ReadItem>
   std::vector<Item> next_list(ReadItem read_item) {
     std::vector<Item> items;
@@ -467,7 +467,7 @@
   return bytes;
 }
 
-/// Accepts a document as long as it nests no deeper than a packet may.
+/// SAX handler that aborts parsing when the nesting exceeds kMaxPacketDepth.
 class DepthLimiter : public nlohmann::json_sax<Json> {
  public:
   bool null() override { return true; }
@@ -490,9 +490,9 @@
   int depth_ = 0;
 };
 
-/// \return the parsed bytes, or a discarded value. The library descends once a
-/// level of nesting, and reports an absurd length by an exception even when
-/// exceptions are switched off.
+/// \return the parsed document, or a discarded value if \p bytes is not valid CBOR. The depth is
+/// checked first because from_cbor() recurses once per level; the exception is caught because the
+/// library throws on an impossible length even with exceptions disabled.
 Json parse_cbor(std::string_view bytes) {
   DepthLimiter check;
   if (!Json::sax_parse(bytes.begin(), bytes.end(), &check, Json::input_format_t::cbor)) {
@@ -522,16 +522,17 @@
 
 core::Result<GossipPacket> decode_packet(std::string_view bytes) {
   if (bytes.size() > kMaxPacketBytes) {
-    return core::make_error(core::ErrorCode::kTooLarge, "gossip packet is too long");
+    return core::make_error(core::ErrorCode::kTooLarge, "gossip packet exceeds the size limit");
   }
   const Json json = parse_cbor(bytes);
   if (json.is_discarded()) {
-    return core::make_error(core::ErrorCode::kProtocol, "gossip packet is not CBOR");
+    return core::make_error(core::ErrorCode::kProtocol, "gossip packet is not valid CBOR");
   }
   const bool has_zones = json.is_array() && json.size() == kPartCountWithZones;
   ArrayReader reader(json, has_zones ? kPartCountWithZones : kBasePartCount);
   if (reader.next_unsigned() != kGossipProtocolVersion) {
-    return core::make_error(core::ErrorCode::kProtocol, "gossip packet of another version");
+    return core::make_error(core::ErrorCode::kProtocol,
+                            "gossip packet has an unsupported protocol version");
   }
   GossipPacket packet;
   const bool head_ok =
@@ -547,7 +548,7 @@
     }
   }
   if (!head_ok || !reader.ok()) {
-    return core::make_error(core::ErrorCode::kProtocol, "gossip packet breaks its format");
+    return core::make_error(core::ErrorCode::kProtocol, "gossip packet is malformed");
   }
   return packet;
 }
--- a/src/wire/gossip_messages.hpp
+++ b/src/wire/gossip_messages.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Messages that daemons exchange over UDP. A packet carries its sender's own
-/// record, one message, and whatever news fits beside it. Plain values.
+/// Gossip messages that daemons exchange over UDP. A packet carries its sender's member record, one
+/// message, and as many piggybacked state updates as fit.
 #pragma once
 
 #include <cstdint>
@@ -13,12 +13,12 @@
 
 namespace stoneport::wire {
 
-/// News alone, without a probe.
+/// Carries only piggybacked state updates, without a probe.
 struct StateUpdate {
   bool operator==(const StateUpdate&) const = default;
 };
 
-/// Asks \p target for an Acknowledgement. Another node at the same address (the
+/// Requests an Acknowledgement from \p target. A different node at the same address (after the
 /// machine was replaced) does not answer.
 struct Ping {
   std::uint32_t sequence = 0;
@@ -26,14 +26,14 @@
   bool operator==(const Ping&) const = default;
 };
 
-/// Answers a Ping, or hands on the answer to an IndirectPing.
+/// Answers a Ping, or forwards the answer to the sender of an IndirectPing.
 struct Acknowledgement {
   std::uint32_t sequence = 0;
   core::NodeId target;  ///< the node that is alive
   bool operator==(const Acknowledgement&) const = default;
 };
 
-/// Asks the receiver to ping \p target on the sender's behalf.
+/// Requests that the receiver ping \p target on the sender's behalf.
 struct IndirectPing {
   std::uint32_t sequence = 0;
   core::NodeId target;
@@ -41,26 +41,26 @@
   bool operator==(const IndirectPing&) const = default;
 };
 
-/// Anti-entropy: hashes of the sender's state, by bucket. The receiver answers
-/// with what it has in the buckets that differ.
+/// Anti-entropy: hashes of the sender's state by bucket. The receiver answers with its records of
+/// the buckets that differ.
 struct SyncRequest {
   std::vector<std::uint32_t> bucket_hashes;
-  /// Whether this answers a SyncRequest; then no further one follows.
+  /// Whether this answers a SyncRequest; an answer is not answered again.
   bool is_answer = false;
   bool operator==(const SyncRequest&) const = default;
 };
 
-/// Asks a watcher to push digests of these replicas for a while.
+/// Subscribes to a watcher's digests of these replicas for a limited time.
 struct DigestSubscription {
   std::vector<core::ReplicaId> replicas;
   bool operator==(const DigestSubscription&) const = default;
 };
 
-/// The load of one replica as its watcher read it.
+/// Load of one replica as read by its watcher.
 struct ReplicaReport {
   core::ReplicaId replica;
   core::Incarnation incarnation;
-  std::uint32_t age_ms = 0;  ///< when sent
+  std::uint32_t age_ms = 0;  ///< age of the report when it was sent
   bool reachable = false;
   bool leaving = false;
   bool swapping = false;
@@ -70,43 +70,43 @@
   std::uint32_t tokens_per_second = 0;
   std::uint32_t kv_used_permille = 0;
   core::WeightVersion version;
-  core::WeightVersion prefetched;  ///< fetched and not loaded yet; zero for none
-  /// Cached prompt prefixes; nothing when this report leaves them out.
+  core::WeightVersion prefetched;  ///< fetched but not loaded yet; zero if none
+  /// Hashes of cached prompt prefixes; nullopt if the report omits them.
   std::optional<std::vector<std::uint64_t>> cached_prefixes;
   bool operator==(const ReplicaReport&) const = default;
 };
 
-/// Answers a DigestSubscription, again and again.
+/// Periodic reports to the sender of a DigestSubscription.
 struct DigestPush {
   std::vector<ReplicaReport> reports;
   bool operator==(const DigestPush&) const = default;
 };
 
-/// A request under which replicas ended, as the sender knows it.
+/// A request that is suspected of crashing replicas, as known to the sender.
 struct SuspectNotice {
   core::RequestFingerprint content;
-  std::uint64_t generation = 0;  ///< rises each time that the request is cleared
-  std::vector<core::ReplicaId> ended;
-  std::uint32_t remaining_ms = 0;  ///< until the sender forgets it, when sent
+  std::uint64_t generation = 0;        ///< incremented each time the request is cleared
+  std::vector<core::ReplicaId> ended;  ///< replicas that ended while they ran the request
+  std::uint32_t remaining_ms = 0;      ///< time until expiry at the sender, when sent
   bool operator==(const SuspectNotice&) const = default;
 };
 
 enum class SuspectRunPhase : std::uint8_t {
-  kKept,     ///< a replica is kept for it
-  kRunning,  ///< it goes to the replica now
-  kOver,
+  kKept,     ///< a replica is reserved for it
+  kRunning,  ///< the request is being sent to the replica
+  kOver,     ///< the run has ended
 };
 
-/// A request under suspicion that the sender runs, or keeps a replica for.
+/// A run of a suspected request that the sender has started or reserved a replica for.
 struct SuspectRunNotice {
   core::RequestFingerprint content;
   core::ReplicaId replica;
-  bool is_alone = false;  ///< nothing else may go to the replica meanwhile
+  bool is_alone = false;  ///< no other request may be sent to the replica during the run
   SuspectRunPhase phase = SuspectRunPhase::kKept;
   bool operator==(const SuspectRunNotice&) const = default;
 };
 
-/// Tells of requests that may crash replicas.
+/// Reports requests that may crash replicas.
 struct SuspectReport {
   std::vector<SuspectNotice> suspects;
   std::vector<SuspectRunNotice> runs;
@@ -114,20 +114,20 @@
 };
 
 enum class HealthFindingKind : std::uint8_t {
-  kSilent,    ///< unreachable, or it did not answer in time
-  kFailing,   ///< it failed too large a share of what it ran
-  kAnswered,  ///< it served a request as it should, after it had been found otherwise
+  kSilent,    ///< unreachable, or a call timed out
+  kFailing,   ///< too large a share of its calls failed
+  kAnswered,  ///< served a request correctly after it had been reported silent or failing
 };
 
-/// What the sender saw of one life of a replica.
+/// The sender's observation of one replica.
 struct HealthFinding {
   core::ReplicaId replica;
   HealthFindingKind kind = HealthFindingKind::kSilent;
-  std::uint32_t age_ms = 0;  ///< when sent
+  std::uint32_t age_ms = 0;  ///< age of the finding when it was sent
   bool operator==(const HealthFinding&) const = default;
 };
 
-/// Tells of replicas that other processes had better avoid, or may use again.
+/// Reports replicas that other processes should avoid or can use again.
 struct HealthReport {
   std::vector<HealthFinding> findings;
   bool operator==(const HealthReport&) const = default;
@@ -136,21 +136,21 @@
 using GossipMessage = std::variant<StateUpdate, Ping, Acknowledgement, IndirectPing, SyncRequest,
                                    DigestSubscription, DigestPush, SuspectReport, HealthReport>;
 
-/// The newest published version of a policy; the highest wins.
+/// Newest published version of a policy; the highest wins.
 struct PolicyVersion {
   core::PolicyName policy;
   core::WeightVersion version;
   bool operator==(const PolicyVersion&) const = default;
 };
 
-/// A replica is to get no new work for this incarnation and all below it.
+/// Marks a replica as draining: it gets no new work in this or any lower incarnation.
 struct ReplicaDrainMark {
   core::ReplicaId replica;
   core::Incarnation incarnation;
   bool operator==(const ReplicaDrainMark&) const = default;
 };
 
-/// Whether the operator has evacuated a zone, as of a revision of the store; the highest wins.
+/// Whether the operator has evacuated a zone, as of a store revision; the highest revision wins.
 struct ZoneNotice {
   core::ZoneName zone;
   core::Revision revision;
@@ -158,8 +158,8 @@
   bool operator==(const ZoneNotice&) const = default;
 };
 
-/// Members, by life_key(), on which one configuration revision is in force: what
-/// changes most, in the fewest bytes.
+/// Members, identified by life_key(), on which a configuration revision is in force. A compact
+/// encoding, because this is the state that changes most often.
 struct RevisionHolders {
   core::Revision revision;
   std::vector<std::uint64_t> holders;
--- a/src/wire/gossip_sizes.cpp
+++ b/src/wire/gossip_sizes.cpp
@@ -1,6 +1,6 @@
-// Sizes of what goes into gossip packets, by CBOR's rules (RFC 8949, section 3) and without
-// encoding: a packet is filled by the size of each record that might go in, of which there
-// are as many as members.
+// Computes the encoded sizes of gossip records by CBOR's rules (RFC 8949, section 3) without
+// encoding them: filling a packet needs the size of each candidate record, and there are as many
+// candidates as members.
 #include <limits>
 #include <string_view>
 
@@ -9,8 +9,8 @@
 namespace stoneport::wire {
 namespace {
 
-/// Bytes of the first byte of an item with its argument: a number itself, or the length of a
-/// text or an array.
+/// Returns the size of a CBOR item head: the initial byte and its argument, which is the value of a
+/// number or the length of a text string or array.
 std::size_t head_bytes(std::uint64_t argument) {
   constexpr std::uint64_t kLargestInFirstByte = 23;
   if (argument <= kLargestInFirstByte) {
@@ -46,12 +46,13 @@
   return size;
 }
 
-/// Nulls, booleans and the kinds of messages take one byte.
+/// Size of nulls, booleans, small enumerations and message kinds.
 constexpr std::size_t kOneByte = 1;
-/// The head of an array of up to 23 elements.
+/// Size of the head of an array of up to 23 elements.
 constexpr std::size_t kShortArray = 1;
 constexpr std::size_t kEmptyList = 1;
-/// Members, policy versions, drain marks and revisions; an empty list of zone notices is left out.
+/// Lists of members, policy versions, drain marks and revisions; an empty list of zone notices is
+/// omitted from the packet.
 constexpr std::size_t kLists = 4;
 
 struct MessageSizer {
--- a/src/wire/member.cpp
+++ b/src/wire/member.cpp
@@ -8,7 +8,7 @@
 namespace stoneport::wire {
 namespace {
 
-/// Within one incarnation a higher rank wins.
+/// Returns the precedence of a state within one incarnation; the higher rank wins.
 int liveness_rank(MemberState state) {
   switch (state) {
     case MemberState::kAlive:
@@ -26,8 +26,8 @@
   return std::make_tuple(member.incarnation, liveness_rank(member.state));
 }
 
-/// What does not change within one life of a process. Should two processes run
-/// under one name all the same, everybody settles on the same one of them.
+/// Returns the fields that are constant during one run of a process. If two processes run under the
+/// same name by mistake, ordering by these fields makes all members choose the same one.
 auto identity(const Member& member) {
   return std::tie(member.zone, member.region, member.gossip_address, member.peer_address);
 }
--- a/tests/unit/core/adaptive_timeout_test.cpp
+++ b/tests/unit/core/adaptive_timeout_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Timeouts follow the usual latency and grow with each answer that did not come.
+/// Timeouts follow the average latency and double after each timeout.
 #include "core/adaptive_timeout.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,8 +11,8 @@
 class AdaptiveTimeoutTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AdaptiveTimeoutTest);
   CPPUNIT_TEST(follows_latency_within_bounds);
-  CPPUNIT_TEST(doubles_with_each_silence);
-  CPPUNIT_TEST(begins_with_what_is_known);
+  CPPUNIT_TEST(doubles_with_each_timeout);
+  CPPUNIT_TEST(uses_the_expected_latency);
   CPPUNIT_TEST_SUITE_END();
 
   void follows_latency_within_bounds() {
@@ -29,7 +29,7 @@
     CPPUNIT_ASSERT(timeout.current() == milliseconds(1500));
   }
 
-  void begins_with_what_is_known() {
+  void uses_the_expected_latency() {
     AdaptiveTimeout timeout;
     timeout.set_expected_latency(milliseconds(150));
     CPPUNIT_ASSERT(timeout.current() > milliseconds(890));
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT(timeout.current() == milliseconds(250));
   }
 
-  void doubles_with_each_silence() {
+  void doubles_with_each_timeout() {
     AdaptiveTimeout timeout;
     for (const int expected : {500, 1000, 1500, 1500}) {
       timeout.on_timeout();
--- a/tests/unit/core/admission_test.cpp
+++ b/tests/unit/core/admission_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Token bucket, circuit breaker and back-off under virtual time.
+/// Token bucket, circuit breaker and backoff under virtual time.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "core/backoff.hpp"
@@ -16,14 +16,14 @@
 
 class AdmissionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AdmissionTest);
-  CPPUNIT_TEST(bucket_table);
-  CPPUNIT_TEST(bucket_wait_is_enough);
+  CPPUNIT_TEST(bucket_respects_rate_and_reserve);
+  CPPUNIT_TEST(bucket_wait_is_sufficient);
   CPPUNIT_TEST(breaker_opens_probes_and_closes);
   CPPUNIT_TEST(breaker_frees_an_abandoned_probe);
   CPPUNIT_TEST(backoff_stays_in_its_bounds);
   CPPUNIT_TEST_SUITE_END();
 
-  void bucket_table() {
+  void bucket_respects_rate_and_reserve() {
     struct Step {
       int at_ms;
       double reserve;
@@ -32,12 +32,12 @@
     const Step steps[] = {
         {0, 2, true},     // 4 -> 3
         {0, 2, true},     // 3 -> 2
-        {0, 2, false},    // the reserve would be touched
+        {0, 2, false},    // would use the reserve
         {0, 0, true},     // 2 -> 1
         {0, 0, true},     // 1 -> 0
         {0, 0, false},    // empty
         {100, 0, true},   // one refilled
-        {50, 0, false},   // a clock that went back gives nothing
+        {50, 0, false},   // no refill when the clock went backwards
         {10000, 9, true}  // a reserve above the burst needs the full bucket
     };
     TokenBucket bucket({10, 4}, at(0));
@@ -46,7 +46,7 @@
     }
   }
 
-  void bucket_wait_is_enough() {
+  void bucket_wait_is_sufficient() {
     TokenBucket bucket({3, 2}, at(0));
     CPPUNIT_ASSERT(bucket.wait_for(at(0), 0) == Duration::zero());
     while (bucket.try_take(at(0), 0)) {
@@ -86,10 +86,10 @@
     RandomSource random(1);
     const BackoffSettings settings{milliseconds(10), milliseconds(70)};
     for (std::uint32_t attempt = 0; attempt < 100; ++attempt) {
-      const Duration whole =
+      const Duration full_delay =
           attempt < 3 ? Duration(milliseconds(10 << attempt)) : Duration(milliseconds(70));
       const Duration delay = backoff_delay(settings, attempt, random);
-      CPPUNIT_ASSERT(delay >= whole / 2 && delay <= whole);
+      CPPUNIT_ASSERT(delay >= full_delay / 2 && delay <= full_delay);
     }
   }
 };
--- a/tests/unit/core/decision_log_test.cpp
+++ b/tests/unit/core/decision_log_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Every kind of decision line has a name of its own and a row in docs/LOGS.md.
+/// Every decision event has a unique name and a row in docs/LOGS.md.
 #include "core/decision_log.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/unit/core/json_text_test.cpp
+++ b/tests/unit/core/json_text_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// JSON text from outside: depth, malformed text, bytes that are no UTF-8.
+/// Untrusted JSON: nesting depth, malformed text and invalid UTF-8.
 #include "core/json_text.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,13 +13,13 @@
 
 class JsonTextTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(JsonTextTest);
-  CPPUNIT_TEST(refuses_what_is_no_json_or_too_deep);
-  CPPUNIT_TEST(writes_invalid_bytes_replaced);
-  CPPUNIT_TEST(knows_valid_utf8);
+  CPPUNIT_TEST(rejects_invalid_or_too_deep_json);
+  CPPUNIT_TEST(replaces_invalid_utf8_on_output);
+  CPPUNIT_TEST(recognizes_valid_utf8);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void refuses_what_is_no_json_or_too_deep() {
+  void rejects_invalid_or_too_deep_json() {
     const std::vector<std::pair<std::string, bool>> cases = {
         {"{\"a\":[1,{\"b\":null}]}", true},
         {"7", true},
@@ -38,11 +38,11 @@
     CPPUNIT_ASSERT(*parse_json("{\"a\":[1]}") == nlohmann::json({{"a", {1}}}));
   }
 
-  void writes_invalid_bytes_replaced() {
+  void replaces_invalid_utf8_on_output() {
     CPPUNIT_ASSERT_EQUAL(std::string("\"a\xef\xbf\xbd\""), write_json("a\xff"));
   }
 
-  void knows_valid_utf8() {
+  void recognizes_valid_utf8() {
     const std::vector<std::pair<std::string, bool>> cases = {
         {"", true},
         {"name-1", true},
@@ -52,8 +52,8 @@
         {"a\xc3", false},
         {"\xc3(", false},
         {"\x80", false},
-        {"\xc0\x80", false},          // longer than needed
-        {"\xed\xa0\x80", false},      // a surrogate
+        {"\xc0\x80", false},          // overlong encoding
+        {"\xed\xa0\x80", false},      // surrogate
         {"\xf4\x90\x80\x80", false},  // beyond U+10FFFF
     };
     for (const auto& [text, valid] : cases) {
--- a/tests/unit/core/numbers_test.cpp
+++ b/tests/unit/core/numbers_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whole numbers from text: what spells one, and what does not.
+/// Strict parsing of integers: accepted and rejected text.
 #include "core/numbers.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,12 +18,12 @@
 
 class NumbersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NumbersTest);
-  CPPUNIT_TEST(takes_whole_numbers_only);
-  CPPUNIT_TEST(takes_the_whole_range_of_its_type);
+  CPPUNIT_TEST(accepts_integers_only);
+  CPPUNIT_TEST(accepts_the_full_range_of_the_type);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void takes_whole_numbers_only() {
+  void accepts_integers_only() {
     const std::vector<NumberCase> cases = {
         {"0", 0},
         {"007", 7},
@@ -42,7 +42,7 @@
     }
   }
 
-  void takes_the_whole_range_of_its_type() {
+  void accepts_the_full_range_of_the_type() {
     CPPUNIT_ASSERT(parse_number<std::uint64_t>("18446744073709551615") == UINT64_MAX);
     CPPUNIT_ASSERT(!parse_number<std::uint64_t>("18446744073709551616"));
     CPPUNIT_ASSERT(!parse_number<std::uint64_t>("-1"));
--- a/tests/unit/core/time_source_test.cpp
+++ b/tests/unit/core/time_source_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A machine that was suspended comes back with its steady clock where it was, while leases that
-/// others hold and the time of day have gone on. The process's clock must go with those.
+/// The steady clock stops while a machine is suspended, but leases held by other processes and the
+/// wall clock go on. The process's monotonic clock must include the suspended time.
 #include <cppunit/extensions/HelperMacros.h>
 #include <sys/syscall.h>
 #include <time.h>
@@ -9,11 +9,11 @@
 #include "core/time.hpp"
 
 namespace {
-/// What the steady clock lacks because the machine was suspended so long.
+/// Simulated time in suspend, by which CLOCK_MONOTONIC lags.
 std::chrono::seconds suspended_for{};
 }  // namespace
 
-/// Stands before the C library's, which the standard library's clocks read.
+/// Overrides the C library's function, which the standard library's clocks call.
 extern "C" int clock_gettime(clockid_t clock, timespec* now) noexcept {
   const auto result = static_cast<int>(syscall(SYS_clock_gettime, clock, now));
   if (clock == CLOCK_MONOTONIC) {
@@ -26,10 +26,10 @@
 
 class TimeSourceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TimeSourceTest);
-  CPPUNIT_TEST(time_that_the_machine_was_suspended_counts);
+  CPPUNIT_TEST(monotonic_clock_includes_suspend);
   CPPUNIT_TEST_SUITE_END();
 
-  void time_that_the_machine_was_suspended_counts() {
+  void monotonic_clock_includes_suspend() {
     const SystemTimeSource source;
     const auto steady_before = std::chrono::steady_clock::now();
     const MonotonicTime before = source.now();
@@ -37,7 +37,7 @@
     const auto steady_after = std::chrono::steady_clock::now();
     const MonotonicTime after = source.now();
     suspended_for = {};
-    CPPUNIT_ASSERT(steady_after < steady_before);  // the double works
+    CPPUNIT_ASSERT(steady_after < steady_before);  // the override is in effect
     CPPUNIT_ASSERT(after >= before);
     CPPUNIT_ASSERT(after - before < std::chrono::seconds(1));
   }
--- a/tests/unit/core/work_pacer_test.cpp
+++ b/tests/unit/core/work_pacer_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The time between two beginnings of work that is spaced out by what it costs.
+/// The interval between two starts of paced work, by the cost of the work.
 #include "core/work_pacer.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,8 +10,8 @@
 
 class WorkPacerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WorkPacerTest);
-  CPPUNIT_TEST(cases);
-  CPPUNIT_TEST(the_first_work_is_due_at_once);
+  CPPUNIT_TEST(interval_follows_the_cost);
+  CPPUNIT_TEST(the_first_run_is_due_immediately);
   CPPUNIT_TEST_SUITE_END();
 
   static WorkPacer pacer() {
@@ -20,7 +20,7 @@
                       .longest_interval = milliseconds(100)});
   }
 
-  void cases() {
+  void interval_follows_the_cost() {
     struct Case {
       std::string name;
       milliseconds cost;
@@ -41,7 +41,7 @@
     }
   }
 
-  void the_first_work_is_due_at_once() {
+  void the_first_run_is_due_immediately() {
     CPPUNIT_ASSERT(pacer().is_due(MonotonicTime(std::chrono::seconds(10))));
   }
 };
--- a/tests/unit/wire/gossip_codec_test.cpp
+++ b/tests/unit/wire/gossip_codec_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The codec of gossip packets: round trips, a table of malformed packets, and
-/// random bytes. Run under the address and undefined-behaviour sanitizers.
+/// Codec of gossip packets: round trips, malformed packets and random bytes. Also run under the
+/// address and undefined-behavior sanitizers.
 #include "wire/gossip_codec.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -94,7 +94,7 @@
   return bytes;
 }
 
-/// \return a valid packet, as JSON, after \p damage.
+/// \return an encoded packet that was valid before \p damage changed its JSON form.
 std::string damaged(const std::function<void(Json&)>& damage,
                     GossipMessage message = StateUpdate{}) {
   const std::string bytes = encode_packet(full_packet(std::move(message)));
@@ -128,7 +128,7 @@
     }
   }
 
-  /// What \p added takes in a packet of news that has no other record.
+  /// \return the number of bytes that \p added adds to a packet without other records.
   static std::size_t added_bytes(const std::function<void(GossipPacket&)>& added) {
     GossipPacket packet;
     packet.sender = full_member();
@@ -279,7 +279,7 @@
       }
       const auto decoded = decode_packet(bytes);
       if (decoded) {
-        // Damage that stays within the format must still be a packet in full.
+        // A damaged packet that is still valid must survive a round trip.
         const auto again = decode_packet(encode_packet(*decoded));
         CPPUNIT_ASSERT(again.has_value());
         CPPUNIT_ASSERT(*again == *decoded);
--- a/tests/unit/wire/member_test.cpp
+++ b/tests/unit/wire/member_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Merging member records: a table of cases, and the laws of merging over
-/// random records.
+/// Merging of member records: a table of cases, and commutativity, associativity and idempotence
+/// over random records.
 #include "wire/member.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
