--- a/src/fleet/replica_scaler.cpp
+++ b/src/fleet/replica_scaler.cpp
@@ -11,9 +11,9 @@
 namespace asio = boost::asio;
 namespace {
 
-/// The spot replicas that were ordered last, by service and zone, in the term's partition.
+/// Table of the latest orders of spot replicas by service and zone, in the partition of the term.
 constexpr std::string_view kScaleTable = "stoneport-spot-order";
-/// Between a service and a zone in a key; neither holds one.
+/// Separates service and zone in a key; neither contains it.
 constexpr char kSeparator = '/';
 
 bool is_open(const jobs::ItemProgress& item) {
@@ -34,14 +34,15 @@
       settings_(std::move(settings)),
       fence_(inputs_.store, inputs_.reader, std::move(context), inputs_.time, settings_.fence),
       orders_(inputs_.metrics.counter("stoneport_scale_orders_total",
-                                      "Orders of spot replicas that the platform has taken")),
-      refused_(inputs_.metrics.counter("stoneport_scale_orders_refused_total",
-                                       "Orders of spot replicas that it has not taken")),
+                                      "Orders of spot replicas accepted by the platform")),
+      refused_(inputs_.metrics.counter(
+          "stoneport_scale_orders_refused_total",
+          "Orders of spot replicas that the platform refused or did not answer")),
       wanted_(inputs_.metrics.gauge("stoneport_spot_replicas_wanted",
-                                    "Spot replicas that are wanted now")) {}
+                                    "Desired number of spot replicas")) {}
 
-std::string ReplicaScaler::name_of(const Subject& subject) {
-  return "scale" + (kSeparator + subject.service.value()) + (kSeparator + subject.zone.value());
+std::string ReplicaScaler::name_of(const ServiceZone& target) {
+  return "scale" + (kSeparator + target.service.value()) + (kSeparator + target.zone.value());
 }
 
 void ReplicaScaler::start() {
@@ -49,21 +50,21 @@
 }
 
 asio::awaitable<void> ReplicaScaler::run(std::shared_ptr<ReplicaScaler> self) {
-  bool has_learned = false;
+  bool has_loaded = false;
   while (!self->stopped_) {
     if (!self->scaled_services().empty()) {
-      if (!has_learned) {
-        has_learned = co_await self->learn();
+      if (!has_loaded) {
+        has_loaded = co_await self->load_orders();
       }
-      if (has_learned && !self->stopped_) {
-        co_await self->look();
+      if (has_loaded && !self->stopped_) {
+        co_await self->evaluate();
       }
     }
     co_await runtime::sleep_for(self->settings_.tick);
   }
 }
 
-asio::awaitable<bool> ReplicaScaler::learn() {
+asio::awaitable<bool> ReplicaScaler::load_orders() {
   const bool knows_calls = co_await fence_.learn();
   ports::RecordRange range{std::string(kScaleTable), std::string(jobs::kTermPartition)};
   const core::Result<std::vector<ports::Record>> orders =
@@ -78,9 +79,9 @@
       core::log_decision(core::DecisionEvent::kRowUndecodable, {{"key", record.key}});
       continue;
     }
-    const Subject subject{core::ServiceName(record.key.substr(0, separator)),
-                          core::ZoneName(record.key.substr(separator + 1))};
-    ordered_[subject].spot = *spot;
+    const ServiceZone target{core::ServiceName(record.key.substr(0, separator)),
+                             core::ZoneName(record.key.substr(separator + 1))};
+    ordered_[target].spot = *spot;
   }
   resume_plans();
   co_return true;
@@ -90,12 +91,12 @@
   return plans_.try_emplace(service, settings_.plan).first->second;
 }
 
-/// What a former holder ordered is kept for a while: the steps that it was ordered for are late
-/// still, and replicas that are given back and ordered again boot for nothing.
+/// Keeps the replicas ordered by the previous coordinator for a while: the training steps that
+/// needed them are still late, and returning and reordering replicas would waste their boot time.
 void ReplicaScaler::resume_plans() {
   std::map<core::ServiceName, std::uint32_t> spot;
-  for (const auto& [subject, ordered] : ordered_) {
-    spot[subject.service] += ordered.spot;
+  for (const auto& [target, ordered] : ordered_) {
+    spot[target.service] += ordered.spot;
   }
   for (const auto& [service, count] : spot) {
     if (count == 0) {
@@ -150,7 +151,7 @@
   return demand;
 }
 
-asio::awaitable<void> ReplicaScaler::look() {
+asio::awaitable<void> ReplicaScaler::evaluate() {
   const std::shared_ptr<const ingress::RouteTable> table = inputs_.routes.current();
   std::uint32_t wanted = 0;
   for (const auto& [service, limits] : table->scaling()) {
@@ -158,70 +159,70 @@
         plan_of(service).decide(inputs_.time.now(), demand_of(service), fleet_of(service), limits);
     for (const auto& [zone, spot] : counts) {
       wanted += spot;
-      Subject subject{service, zone};
-      co_await bring_to(std::move(subject), spot);
+      ServiceZone target{service, zone};
+      co_await set_order(std::move(target), spot);
     }
   }
   wanted_.Set(wanted);
 }
 
-asio::awaitable<void> ReplicaScaler::bring_to(Subject subject, std::uint32_t spot) {
-  const auto known = ordered_.find(subject);
-  const Ordered ordered = known == ordered_.end() ? Ordered() : known->second;
+asio::awaitable<void> ReplicaScaler::set_order(ServiceZone target, std::uint32_t spot) {
+  const auto known = ordered_.find(target);
+  const OrderState ordered = known == ordered_.end() ? OrderState() : known->second;
   const bool never_ordered = known == ordered_.end() && spot == 0;
-  const bool holds = never_ordered || (ordered.spot == spot && ordered.is_taken);
-  const std::string name = name_of(subject);
-  if (holds || stopped_ || inputs_.time.now() < ordered.not_before || !fence_.is_open(name)) {
+  const bool holds = never_ordered || (ordered.spot == spot && ordered.is_accepted);
+  const std::string name = name_of(target);
+  if (holds || stopped_ || inputs_.time.now() < ordered.retry_at || !fence_.is_open(name)) {
     co_return;
   }
-  const bool is_noted = co_await note(subject, spot);
-  if (is_noted) {
-    co_await send(std::move(subject), spot);
+  const bool is_recorded = co_await record_order(target, spot);
+  if (is_recorded) {
+    co_await send(std::move(target), spot);
   }
 }
 
-asio::awaitable<bool> ReplicaScaler::note(Subject subject, std::uint32_t spot) {
+asio::awaitable<bool> ReplicaScaler::record_order(ServiceZone target, std::uint32_t spot) {
   ports::RecordTransaction transaction = fence_.transaction();
-  const std::string key = subject.service.value() + kSeparator + subject.zone.value();
+  const std::string key = target.service.value() + kSeparator + target.zone.value();
   transaction.writes.push_back({std::string(kScaleTable), key, std::to_string(spot)});
-  transaction.writes.push_back(fence_.announcement(name_of(subject)));
+  transaction.writes.push_back(fence_.announcement(name_of(target)));
   const core::MonotonicTime sent_at = inputs_.time.now();
   const core::Result<core::Revision> committed =
       co_await inputs_.store.commit(std::move(transaction), settings_.write_timeout);
   if (!committed) {
     co_return false;
   }
-  Ordered& ordered = ordered_[subject];
+  OrderState& ordered = ordered_[target];
   ordered.spot = spot;
-  ordered.is_taken = false;
-  fence_.on_announced(name_of(subject), sent_at);
+  ordered.is_accepted = false;
+  fence_.on_announced(name_of(target), sent_at);
   co_return true;
 }
 
-asio::awaitable<void> ReplicaScaler::send(Subject subject, std::uint32_t spot) {
-  if (stopped_ || !fence_.may_call(name_of(subject))) {
+asio::awaitable<void> ReplicaScaler::send(ServiceZone target, std::uint32_t spot) {
+  if (stopped_ || !fence_.may_call(name_of(target))) {
     co_return;
   }
   ports::DutyHolder holder{settings_.holder, fence_.context().term.epoch};
-  ports::ReplicaOrder order{subject.service, subject.zone, spot, true};
+  ports::ReplicaOrder order{target.service, target.zone, spot, true};
   const core::Result<void> taken = co_await inputs_.platform.order_replicas(
       std::move(holder), std::move(order), settings_.call_timeout);
   core::log_decision(core::DecisionEvent::kReplicasOrdered,
-                     {{"service", subject.service.value()},
-                      {"zone", subject.zone.value()},
+                     {{"service", target.service.value()},
+                      {"zone", target.zone.value()},
                       {"spot", spot},
                       {"epoch", fence_.context().term.epoch.value()},
                       {"taken", taken.has_value()},
                       {"reason", taken ? std::string() : taken.error().message}});
-  Ordered& ordered = ordered_[subject];
-  ordered.is_taken = taken.has_value();
+  OrderState& ordered = ordered_[target];
+  ordered.is_accepted = taken.has_value();
   if (taken) {
     orders_.Increment();
     co_return;
   }
   refused_.Increment();
   if (taken.error().code == core::ErrorCode::kConflict) {
-    ordered.not_before = inputs_.time.now() + settings_.no_capacity_pause;
+    ordered.retry_at = inputs_.time.now() + settings_.no_capacity_pause;
   }
 }
 
--- a/src/fleet/replica_scaler.hpp
+++ b/src/fleet/replica_scaler.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Orders spot replicas from the platform while this process holds the term. What was ordered
-/// stands in the store, so that a later holder takes back what nobody needs any more. Belongs
-/// to the coordinator's thread, for one term.
+/// Orders spot replicas from the platform while this process is the coordinator. Orders are
+/// recorded in the store, so that a later coordinator can return replicas that are no longer
+/// needed. An object serves one term and is used on the coordinator's thread only.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -19,13 +19,13 @@
 namespace stoneport::fleet {
 
 struct ReplicaScalerSettings {
-  std::string holder;  ///< as the platform knows this machine
+  std::string holder;  ///< name by which the platform knows this machine
   scaling::SpotPlanSettings plan;
   jobs::DutyFenceSettings fence;
   core::Duration call_timeout = std::chrono::milliseconds(600);
   core::Duration write_timeout = std::chrono::milliseconds(900);
   core::Duration tick = std::chrono::milliseconds(250);
-  /// A zone where none were to be had is not asked again for this long.
+  /// Time for which a zone without capacity is not asked again.
   core::Duration no_capacity_pause = std::chrono::seconds(3);
 };
 
@@ -41,43 +41,43 @@
     const core::TimeSource& time;
     core::Metrics& metrics;
   };
-  /// All inputs outlive the scaler.
+  /// All references in \p inputs must outlive the scaler.
   ReplicaScaler(Inputs inputs, jobs::TermContext context, ReplicaScalerSettings settings);
   void start() override;
   void stop() override { stopped_ = true; }
 
  private:
-  /// One service in one zone: what is ordered by itself.
-  struct Subject {
+  /// A service in a zone, for which replicas are ordered separately.
+  struct ServiceZone {
     core::ServiceName service;
     core::ZoneName zone;
-    auto operator<=>(const Subject&) const = default;
+    auto operator<=>(const ServiceZone&) const = default;
   };
-  struct Ordered {
-    std::uint32_t spot = 0;  ///< as the store holds it
-    bool is_taken = false;   ///< the platform has said so to this holder
-    core::MonotonicTime not_before{};
+  struct OrderState {
+    std::uint32_t spot = 0;    ///< number of replicas recorded in the store
+    bool is_accepted = false;  ///< whether the platform has confirmed the order in this term
+    core::MonotonicTime retry_at{};
   };
 
   static boost::asio::awaitable<void> run(std::shared_ptr<ReplicaScaler> self);
-  boost::asio::awaitable<bool> learn();
+  boost::asio::awaitable<bool> load_orders();
   void resume_plans();
-  boost::asio::awaitable<void> look();
-  boost::asio::awaitable<void> bring_to(Subject subject, std::uint32_t spot);
-  /// Writes the order and its announcement into the store.
-  boost::asio::awaitable<bool> note(Subject subject, std::uint32_t spot);
-  boost::asio::awaitable<void> send(Subject subject, std::uint32_t spot);
+  boost::asio::awaitable<void> evaluate();
+  boost::asio::awaitable<void> set_order(ServiceZone target, std::uint32_t spot);
+  /// Writes the order and its announcement to the store.
+  boost::asio::awaitable<bool> record_order(ServiceZone target, std::uint32_t spot);
+  boost::asio::awaitable<void> send(ServiceZone target, std::uint32_t spot);
   scaling::Fleet fleet_of(const core::ServiceName& service) const;
   scaling::Demand demand_of(const core::ServiceName& service) const;
   scaling::SpotPlan& plan_of(const core::ServiceName& service);
   std::set<core::ServiceName> scaled_services() const;
-  static std::string name_of(const Subject& subject);
+  static std::string name_of(const ServiceZone& target);
 
   Inputs inputs_;
   ReplicaScalerSettings settings_;
   jobs::DutyFence fence_;
   std::map<core::ServiceName, scaling::SpotPlan> plans_;
-  std::map<Subject, Ordered> ordered_;
+  std::map<ServiceZone, OrderState> ordered_;
   bool stopped_ = false;
   prometheus::Counter& orders_;
   prometheus::Counter& refused_;
--- a/src/node/caller_directory.cpp
+++ b/src/node/caller_directory.cpp
@@ -6,69 +6,70 @@
 namespace stoneport::node {
 namespace {
 
-/// Groups of processes, nearest first.
-enum Nearness : std::size_t { kSameZone, kSameRegion, kInHome, kElsewhere, kGroups };
+/// Groups of processes by distance from the caller, nearest first.
+enum Proximity : std::size_t { kSameZone, kSameRegion, kAllowedRegion, kElsewhere, kGroups };
 using Groups = std::array<AvailableMembers, kGroups>;
 
-Nearness nearness_of(const wire::Member& member, const CallerLocation& place,
-                     const eligibility::Regions& homes) {
-  if (member.zone == place.zone) {
+Proximity proximity_of(const wire::Member& member, const CallerLocation& location,
+                       const eligibility::Regions& allowed_regions) {
+  if (member.zone == location.zone) {
     return kSameZone;
   }
-  if (member.region == place.region) {
+  if (member.region == location.region) {
     return kSameRegion;
   }
-  return homes.contains(member.region) ? kInHome : kElsewhere;
+  return allowed_regions.contains(member.region) ? kAllowedRegion : kElsewhere;
 }
 
-bool takes_callers(const ResponderState& view, const wire::Member& member) {
+bool accepts_callers(const ResponderState& view, const wire::Member& member) {
   if (member.node == view.self) {
     return view.is_ready;
   }
   return view.can_reach_others && member.state == wire::MemberState::kAlive && !member.leaving;
 }
 
-/// Puts \p takers in an order by chance, so that the first few are a fair sample.
-void mix(AvailableMembers& takers, core::RandomSource& random) {
-  for (std::size_t left = takers.size(); left > 1; --left) {
-    std::swap(takers[left - 1], takers[random.uniform(0, left - 1)]);
+/// Shuffles \p candidates, so that the first few are a uniform random sample.
+void shuffle(AvailableMembers& candidates, core::RandomSource& random) {
+  for (std::size_t remaining = candidates.size(); remaining > 1; --remaining) {
+    std::swap(candidates[remaining - 1], candidates[random.uniform(0, remaining - 1)]);
   }
 }
 
 }  // namespace
 
 AvailableMembers available_members(const ResponderState& view, const wire::MemberMap& members) {
-  AvailableMembers takers;
+  AvailableMembers candidates;
   for (const auto& [node, member] : members) {
-    if (takes_callers(view, member)) {
-      takers.push_back(&member);
+    if (accepts_callers(view, member)) {
+      candidates.push_back(&member);
     }
   }
-  return takers;
+  return candidates;
 }
 
-std::vector<core::Address> select_caller_addresses(const AvailableMembers& takers,
-                                                   const CallerLocation& place,
-                                                   const eligibility::Regions& homes,
+std::vector<core::Address> select_caller_addresses(const AvailableMembers& candidates,
+                                                   const CallerLocation& location,
+                                                   const eligibility::Regions& allowed_regions,
                                                    core::RandomSource& random) {
   Groups groups;
-  for (const wire::Member* member : takers) {
-    groups[nearness_of(*member, place, homes)].push_back(member);
+  for (const wire::Member* member : candidates) {
+    groups[proximity_of(*member, location, allowed_regions)].push_back(member);
   }
-  std::vector<core::Address> named;
+  std::vector<core::Address> selected;
   for (std::size_t group = 0; group < kGroups; ++group) {
-    const bool breaks_homes = group == kElsewhere && !homes.empty() && !named.empty();
-    if (named.size() >= kMinNearbyAddresses || breaks_homes) {
+    const bool violates_binding =
+        group == kElsewhere && !allowed_regions.empty() && !selected.empty();
+    if (selected.size() >= kMinNearbyAddresses || violates_binding) {
       break;
     }
-    mix(groups[group], random);
+    shuffle(groups[group], random);
     for (const wire::Member* member : groups[group]) {
-      if (named.size() < kMaxCallerAddresses) {
-        named.push_back(member->peer_address);
+      if (selected.size() < kMaxCallerAddresses) {
+        selected.push_back(member->peer_address);
       }
     }
   }
-  return named;
+  return selected;
 }
 
 }  // namespace stoneport::node
--- a/src/node/caller_directory.hpp
+++ b/src/node/caller_directory.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Whom a caller is told to connect to: processes near it first, and where the routes of its
-/// host bind requests to regions, only processes of these or of the caller's own region. Plain
-/// code.
+/// Selects the processes that a caller is told to connect to: the nearest ones first and, if the
+/// routes of the requested host are bound to regions, only processes in these regions or in the
+/// caller's own.
 #pragma once
 
 #include <vector>
@@ -13,39 +13,39 @@
 
 namespace stoneport::node {
 
-/// An answer names no more; the format allows no more.
+/// Maximum number of addresses in an answer, as limited by its format.
 inline constexpr std::size_t kMaxCallerAddresses = 64;
-/// Callers pick one by chance and leave out those that failed them: with fewer in a zone or a
-/// region, the next nearest processes are named besides.
+/// Number of nearby processes below which the next nearest group is included as well. Callers pick
+/// an address at random and skip those that failed, so they need alternatives.
 inline constexpr std::size_t kMinNearbyAddresses = 3;
 
-/// Where a caller is.
+/// Location of a caller.
 struct CallerLocation {
   core::ZoneName zone;
-  core::RegionName region;  ///< empty when the caller does not say
+  core::RegionName region;  ///< empty if unknown
 };
 
-/// Members that take callers now. Refers to their owner's values.
+/// Members that currently accept callers. Non-owning.
 using AvailableMembers = std::vector<const wire::Member*>;
 
-/// What the process that answers knows of itself.
+/// State of the process that answers a caller.
 struct ResponderState {
   core::NodeId self;
-  bool is_ready = false;         ///< whether it takes callers
+  bool is_ready = false;         ///< whether it accepts callers
   bool can_reach_others = true;  ///< whether other processes answer it
 };
 
-/// \return the members that take callers; none but itself where nobody answers the process, as
-/// what it knows of the others is out of date then.
+/// \return the members that accept callers. If no other process answers this one, its membership
+/// list is out of date, and only itself is returned.
 AvailableMembers available_members(const ResponderState& view, const wire::MemberMap& members);
 
-/// \param takers members that take callers now
-/// \param homes regions that the routes of the caller's host allow; empty binds nothing
-/// \return the addresses of the nearest groups (zone, region, homes, others) that together have
-/// enough, in that order; of a group that is too large, a sample by chance.
-std::vector<core::Address> select_caller_addresses(const AvailableMembers& takers,
-                                                   const CallerLocation& place,
-                                                   const eligibility::Regions& homes,
+/// \param candidates members that currently accept callers
+/// \param allowed_regions regions that the routes of the caller's host allow; empty for any
+/// \return addresses from the nearest groups (same zone, same region, allowed regions, others), in
+/// that order, until there are enough; a random sample of a group that does not fit.
+std::vector<core::Address> select_caller_addresses(const AvailableMembers& candidates,
+                                                   const CallerLocation& location,
+                                                   const eligibility::Regions& allowed_regions,
                                                    core::RandomSource& random);
 
 }  // namespace stoneport::node
--- a/src/node/health_exchange.cpp
+++ b/src/node/health_exchange.cpp
@@ -48,29 +48,32 @@
 struct HealthExchange::Meters {
   explicit Meters(core::Metrics& metrics)
       : sent(metrics.counter("stoneport_health_packets_sent_total",
-                             "Packets that told another process of silent or failing replicas")),
-        kept_quiet(metrics.counter("stoneport_health_findings_untold_total",
-                                   "Findings that enough others had told, or that this process "
-                                   "made of most of a service")),
-        left_out(metrics.counter("stoneport_health_packets_left_out_total",
-                                 "Packets about replicas that the rate kept from being sent")),
-        unknown_reporter(heard(metrics, "unknown_reporter")),
-        avoided(metrics.gauge("stoneport_health_replicas_avoided",
-                              "Replicas that get no work for what several processes found")) {
+                             "Packets sent that report silent or failing replicas")),
+        suppressed(metrics.counter("stoneport_health_findings_untold_total",
+                                   "Findings not sent because enough other processes had reported "
+                                   "them, or because this process made them of most replicas of "
+                                   "a service")),
+        rate_limited(
+            metrics.counter("stoneport_health_packets_left_out_total",
+                            "Packets that report replicas, not sent because of the rate limit")),
+        unknown_reporter(received(metrics, "unknown_reporter")),
+        avoided(
+            metrics.gauge("stoneport_health_replicas_avoided",
+                          "Replicas that get no work because several processes reported them")) {
     for (std::size_t outcome = 0; outcome < ingress::kHeardOutcomes; ++outcome) {
       const std::string_view name = to_string(static_cast<ingress::HeardOutcome>(outcome));
-      outcomes[outcome] = &heard(metrics, std::string(name));
+      outcomes[outcome] = &received(metrics, std::string(name));
     }
   }
-  static prometheus::Counter& heard(core::Metrics& metrics, const std::string& outcome) {
+  static prometheus::Counter& received(core::Metrics& metrics, const std::string& outcome) {
     return metrics.counter("stoneport_health_findings_heard_total",
-                           "Findings of other processes, by what came of them",
+                           "Findings received from other processes, by outcome",
                            {{"outcome", outcome}});
   }
 
   prometheus::Counter& sent;
-  prometheus::Counter& kept_quiet;
-  prometheus::Counter& left_out;
+  prometheus::Counter& suppressed;
+  prometheus::Counter& rate_limited;
   prometheus::Counter& unknown_reporter;
   prometheus::Gauge& avoided;
   std::array<prometheus::Counter*, ingress::kHeardOutcomes> outcomes{};
@@ -94,7 +97,7 @@
 
 void HealthExchange::start() {
   is_started_ = true;
-  health_.start([this](const ingress::HealthFinding& finding) { note(finding); });
+  health_.start([this](const ingress::HealthFinding& finding) { enqueue(finding); });
   runtime::start(executor_, "health exchange", run());
 }
 
@@ -107,42 +110,42 @@
   }
 }
 
-void HealthExchange::note(const ingress::HealthFinding& finding) {
-  news_[finding.replica] = finding;
+void HealthExchange::enqueue(const ingress::HealthFinding& finding) {
+  pending_[finding.replica] = finding;
   if (!is_sending_) {
     is_sending_ = true;
-    runtime::start(executor_, "health news", send_news());
+    runtime::start(executor_, "health news", send_pending());
   }
 }
 
-core::Duration HealthExchange::draw_wait() {
+core::Duration HealthExchange::random_delay() {
   const auto members = static_cast<std::int64_t>(gossip_.members_by_node().size());
   const core::Duration spread =
       std::min(settings_.jitter_per_member * members, settings_.max_jitter);
   return settings_.batch_delay + core::from_seconds(core::to_seconds(spread) * random_.fraction());
 }
 
-asio::awaitable<void> HealthExchange::send_news() {
-  co_await runtime::sleep_for(draw_wait());
+asio::awaitable<void> HealthExchange::send_pending() {
+  co_await runtime::sleep_for(random_delay());
   is_sending_ = false;
-  for (const wire::HealthReport& report : take_reports()) {
-    tell(report);
+  for (const wire::HealthReport& report : drain_pending()) {
+    broadcast(report);
   }
 }
 
-std::vector<wire::HealthReport> HealthExchange::take_reports() {
+std::vector<wire::HealthReport> HealthExchange::drain_pending() {
   const core::MonotonicTime now = time_.now();
   wire::GossipPacket empty;
   empty.sender = gossip_.self();
   empty.message = wire::HealthReport();
-  // The length of a list may take two bytes.
-  constexpr std::size_t kListLength = 2;
-  const std::size_t base = wire::size_without_records(empty) + kListLength;
+  // The head of the list may take two bytes.
+  constexpr std::size_t kListHeadBytes = 2;
+  const std::size_t base = wire::size_without_records(empty) + kListHeadBytes;
   std::vector<wire::HealthReport> reports;
   std::size_t size = 0;
-  for (const auto& [replica, finding] : news_) {
+  for (const auto& [replica, finding] : pending_) {
     if (!health_.is_worth_telling(finding, now)) {
-      meters_->kept_quiet.Increment();
+      meters_->suppressed.Increment();
       continue;
     }
     wire::HealthFinding notice = notice_of(finding, now);
@@ -154,11 +157,11 @@
     size += added;
     reports.back().findings.push_back(std::move(notice));
   }
-  news_.clear();
+  pending_.clear();
   return reports;
 }
 
-std::vector<core::Address> HealthExchange::draw_receivers() {
+std::vector<core::Address> HealthExchange::choose_receivers() {
   std::vector<core::Address> members = addresses_of_others(gossip_.members_by_node(), self_);
   const core::MonotonicTime now = time_.now();
   std::size_t taken = 0;
@@ -167,13 +170,13 @@
     std::swap(members[taken], members[drawn]);
     ++taken;
   }
-  meters_->left_out.Increment(static_cast<double>(members.size() - taken));
+  meters_->rate_limited.Increment(static_cast<double>(members.size() - taken));
   members.resize(taken);
   return members;
 }
 
-void HealthExchange::tell(const wire::HealthReport& report) {
-  const std::vector<core::Address> receivers = draw_receivers();
+void HealthExchange::broadcast(const wire::HealthReport& report) {
+  const std::vector<core::Address> receivers = choose_receivers();
   for (const core::Address& address : receivers) {
     gossip_.send_message(address, report);
   }
--- a/src/node/health_exchange.hpp
+++ b/src/node/health_exchange.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Tells the other processes which replicas this one found silent or failing, and hears of theirs.
-/// A finding goes to every live member in one datagram, within a rate, unless enough others have
-/// told the same meanwhile. Nothing is sent again: a finding holds for seconds, and who finds the
-/// replica so still tells it anew. Belongs to the node's thread.
+/// Shares findings about silent and failing replicas with the other processes. A finding is sent to
+/// every live member in one datagram, subject to a rate limit, unless enough other processes have
+/// reported it in the meantime. There are no retransmissions: a finding is valid for seconds only,
+/// and a process that still observes it reports it again. Use it on the node's thread only.
 #pragma once
 
 #include <array>
@@ -19,48 +19,51 @@
 namespace stoneport::node {
 
 struct HealthExchangeSettings {
-  /// Findings of one moment go out together.
+  /// Minimum time for which findings are collected into one report.
   core::Duration batch_delay = std::chrono::milliseconds(2);
-  /// Each process waits a time drawn from this much for each member, so that most of those that
-  /// find the same at once hear of it before their turn: a datagram takes some 12 ms between
-  /// regions, in which a dozen others begin, however many there are.
+  /// Range of the random send delay per member. When many processes make the same finding at once,
+  /// most of them receive it from another one before their own delay ends. A datagram between
+  /// regions takes about 12 ms, in which about a dozen others start to send, regardless of the
+  /// number of members.
   core::Duration jitter_per_member = std::chrono::milliseconds(1);
-  /// All are to know within a second of the first finding.
+  /// Upper limit of the range, so that all processes know a finding within a second.
   core::Duration max_jitter = std::chrono::milliseconds(500);
-  /// Datagrams, of some 150 bytes: 15 kB a second in the long run, less than the membership's
-  /// share, and at once as many as reach 1,000 members. Above it a part of the members, drawn at
-  /// random, is told.
+  /// Rate limit for datagrams, each of about 150 bytes: 15 kB per second in the long run, which is
+  /// less than membership gossip uses, with a burst that reaches 1,000 members. Above the limit a
+  /// report is sent to a random subset of the members.
   core::TokenBucketSettings packets{.tokens_per_second = 100, .burst = 1000};
   std::size_t max_packet_bytes = 1200;
-  /// Between two looks at what has expired.
+  /// Interval between two removals of expired findings.
   core::Duration expiry_interval = std::chrono::milliseconds(500);
 };
 
 class HealthExchange {
  public:
-  /// All outlive the exchange.
+  /// All references must outlive the exchange.
   HealthExchange(boost::asio::any_io_executor executor, controllers::GossipController& gossip,
                  ingress::SharedHealth& health, core::NodeId self, std::uint64_t seed,
                  const core::TimeSource& time, core::Metrics& metrics,
                  HealthExchangeSettings settings = {});
   ~HealthExchange();
 
-  /// Takes part from now on; before, nothing is told and what is heard is dropped.
+  /// Starts the exchange. Before that, nothing is sent and received reports are dropped.
   void start();
+  /// Applies a received HealthReport; ignores other messages.
   void on_message(const controllers::ReceivedMessage& message);
 
  private:
   struct Meters;
 
   boost::asio::awaitable<void> run();
-  boost::asio::awaitable<void> send_news();
-  void note(const ingress::HealthFinding& finding);
-  core::Duration draw_wait();
-  /// \return those of the new findings that others need, in as many reports as fit into packets.
-  std::vector<wire::HealthReport> take_reports();
-  void tell(const wire::HealthReport& report);
-  /// \return the members that the rate allows to be told now.
-  std::vector<core::Address> draw_receivers();
+  boost::asio::awaitable<void> send_pending();
+  void enqueue(const ingress::HealthFinding& finding);
+  core::Duration random_delay();
+  /// Removes all pending findings. \return those that other processes still need, split into
+  /// reports that each fit into a packet.
+  std::vector<wire::HealthReport> drain_pending();
+  void broadcast(const wire::HealthReport& report);
+  /// \return a random selection of members, as many as the rate limit admits now.
+  std::vector<core::Address> choose_receivers();
 
   boost::asio::any_io_executor executor_;
   controllers::GossipController& gossip_;
@@ -71,7 +74,7 @@
   HealthExchangeSettings settings_;
   core::TokenBucket packets_;
   std::unique_ptr<Meters> meters_;
-  std::map<core::ReplicaId, ingress::HealthFinding> news_;
+  std::map<core::ReplicaId, ingress::HealthFinding> pending_;
   bool is_started_ = false;
   bool is_sending_ = false;
 };
--- a/src/node/holder_liveness.cpp
+++ b/src/node/holder_liveness.cpp
@@ -28,7 +28,7 @@
   }
   const bool is_in_doubt =
       member.state == wire::MemberState::kSuspect || member.state == wire::MemberState::kDead;
-  // What is known of an earlier life says nothing of this one.
+  // A record of an earlier run says nothing about the holder's run.
   return known_life == *life && is_in_doubt ? jobs::HolderSign::kSuspect
                                             : jobs::HolderSign::kUnknown;
 }
--- a/src/node/holder_liveness.hpp
+++ b/src/node/holder_liveness.hpp
@@ -1,6 +1,5 @@
 /// \file
-/// What the members' list says of the process that holds the coordinator's term.
-/// Plain code.
+/// Derives from the membership list whether the process that holds the coordinator's term is alive.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +10,12 @@
 
 namespace stoneport::node {
 
-/// A restarted process is another holder.
+/// Returns the holder name of a process. It contains the run number \p life, so that a restarted
+/// process is a different holder.
 std::string holder_name(const core::NodeId& node, std::uint64_t life);
 
-/// One machine runs one process, so a later life of a node ends its earlier ones.
+/// \return what \p members says about \p holder. A node runs one process at a time, so a member
+/// record of a later run means that the holder's run has ended.
 jobs::HolderSign holder_liveness(const std::string& holder, const wire::MemberMap& members);
 
 }  // namespace stoneport::node
--- a/src/node/isolation.cpp
+++ b/src/node/isolation.cpp
@@ -11,15 +11,15 @@
   });
 }
 
-bool can_reach_others(core::Duration answer_silence) {
-  return answer_silence <= kMaxAnswerSilence;
+bool can_reach_others(core::Duration since_last_answer) {
+  return since_last_answer <= kMaxAnswerSilence;
 }
 
 bool is_isolated(const core::NodeId& self, const wire::MemberMap& members,
-                 core::Duration store_silence, bool is_answered) {
+                 core::Duration since_store_served, bool is_answered) {
   const bool has_others = members.size() > 1;
   const bool is_in_touch = is_answered && has_other_live_member(self, members);
-  return has_others && store_silence > kMaxStoreSilence && !is_in_touch;
+  return has_others && since_store_served > kMaxStoreSilence && !is_in_touch;
 }
 
 }  // namespace stoneport::node
--- a/src/node/isolation.hpp
+++ b/src/node/isolation.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// Whether a process is cut off: its store serves it nothing and no other process is in
-/// touch with it. A store that is away for all leaves the members in touch with one
-/// another. Plain code.
+/// Detects that a process is isolated: neither the store nor any other process answers it. If only
+/// the store is down, the members still answer each other and none counts as isolated.
 #pragma once
 
 #include "core/time.hpp"
@@ -9,25 +8,26 @@
 
 namespace stoneport::node {
 
-/// Without any service of the store for this long a process may be cut off.
+/// Time without a served store call after which a process may be isolated.
 inline constexpr core::Duration kMaxStoreSilence = std::chrono::milliseconds(1500);
 
-/// \param members with the process itself
-/// \return whether any process but \p self is alive and takes callers.
+/// \param members all members, including \p self
+/// \return whether any process other than \p self is alive and accepts callers.
 bool has_other_live_member(const core::NodeId& self, const wire::MemberMap& members);
 
-/// Every member probes another four times a second, so that silence of all of them for this
-/// long is the own network's. Members that are cut off are found one by one: 73 of them took
-/// one process 18 s.
+/// Time without an answer from any member after which the fault is in this process's own network:
+/// each member probes another one four times a second. The membership list alone detects isolation
+/// too slowly, because unreachable members are found one by one; 73 of them took 18 s.
 inline constexpr core::Duration kMaxAnswerSilence = std::chrono::milliseconds(2000);
 
-/// \param answer_silence time since another process last answered this one
-/// \return whether what the members' list says of others is worth anything.
-bool can_reach_others(core::Duration answer_silence);
+/// \param since_last_answer time since another process last answered this one
+/// \return whether the membership list is up to date, that is, other processes still answer.
+bool can_reach_others(core::Duration since_last_answer);
 
-/// \param store_silence time since the store last served this process
+/// \param since_store_served time since the store last served this process
 /// \param is_answered whether other processes still answer this one
+/// \return whether the process \p self is isolated.
 bool is_isolated(const core::NodeId& self, const wire::MemberMap& members,
-                 core::Duration store_silence, bool is_answered);
+                 core::Duration since_store_served, bool is_answered);
 
 }  // namespace stoneport::node
--- a/src/node/load_control_settings.hpp
+++ b/src/node/load_control_settings.hpp
@@ -1,19 +1,18 @@
 /// \file
-/// Which decisions about too much load, or uneven load, a process makes. Each may be switched off
-/// by the settings file of a deployment. Plain values.
+/// Switches of the load control features of a process, set by the settings file of a deployment.
 #pragma once
 
 namespace stoneport::node {
 
 struct LoadControlSettings {
-  /// Requests of clients are refused at once while their service refuses for load.
+  /// Admission control: client requests are rejected immediately while their service is overloaded.
   bool admission = true;
-  /// Processes tell each other of replicas that are silent or fail.
+  /// Processes share findings about replicas that are silent or failing.
   bool shared_health = true;
-  /// A request that may be repeated gets a second call beside one that takes unusually long.
+  /// Request hedging: a repeatable request gets a second call if the first is unusually slow.
   bool second_calls = true;
-  /// Steps of trainers are met whole where there is too little room for all. Off unless it is asked
-  /// for: docs/design/fair-steps.md names what is missing.
+  /// When capacity is short, whole training steps are served in turn instead of all of them in
+  /// part. Off by default because it is incomplete, see docs/design/fair-steps.md.
   bool fair_steps = false;
 
   bool operator==(const LoadControlSettings&) const = default;
--- a/src/node/load_metrics.cpp
+++ b/src/node/load_metrics.cpp
@@ -8,7 +8,7 @@
 
 using ingress::LoadCounts;
 
-/// One counter of each service.
+/// Describes one counter that each service has.
 struct CounterKind {
   std::string name;
   std::string help;
@@ -18,19 +18,20 @@
 };
 
 CounterKind by_end(const std::string& end, std::uint64_t LoadCounts::*count) {
-  return {"stoneport_service_requests_total", "Requests by service and end; refusals apart", "end",
-          end, count};
+  return {"stoneport_service_requests_total", "Requests by service and end, without refusals",
+          "end", end, count};
 }
 
 CounterKind by_send(const std::string& kind, std::uint64_t LoadCounts::*count) {
   return {"stoneport_service_sends_total",
-          "Calls to replicas by service; refused, second and second_won are among sent", "kind",
+          "Calls to replicas by service; sent includes refused, second and second_won", "kind",
           kind, count};
 }
 
 CounterKind by_reason(ingress::RefusalReason reason) {
-  return {"stoneport_service_refusals_total", "Requests refused as not run, by service and reason",
-          "reason", std::string(to_string(reason)),
+  return {"stoneport_service_refusals_total",
+          "Requests refused without being run, by service and reason", "reason",
+          std::string(to_string(reason)),
           [reason](const LoadCounts& counts) { return counts.refused_for(reason); }};
 }
 
@@ -64,7 +65,7 @@
                                      "Requests that wait for a replica, by service", labels);
     series.longest_wait =
         &metrics_.gauge("stoneport_service_longest_wait_seconds",
-                        "Longest wait for a replica of the last 10 s, by service", labels);
+                        "Longest wait for a replica in the last 10 s, by service", labels);
   }
   return series;
 }
--- a/src/node/load_metrics.hpp
+++ b/src/node/load_metrics.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The ledger of load as metrics, by service. Tenants are no labels: their number is not bounded
-/// by the configuration. Belongs to one thread.
+/// Publishes the load ledger as metrics by service. Tenants are not used as labels, because the
+/// configuration does not limit their number. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -13,16 +13,16 @@
 
 class LoadMetrics {
  public:
-  /// \param metrics outlives it
+  /// \param metrics must outlive this object
   explicit LoadMetrics(core::Metrics& metrics) : metrics_(metrics) {}
 
-  /// Takes over what the ledger has counted since the last time. A counter appears with the first
-  /// event; services beyond LoadLedger::kMostServices get none.
+  /// Adds what the ledger has counted since the last call. A counter is created by its first event;
+  /// services beyond LoadLedger::kMostServices get no metrics.
   void publish(const ingress::LoadLedger& ledger, core::MonotonicTime now);
 
  private:
   struct Series {
-    std::vector<prometheus::Counter*> counters;  ///< null until there is something to count
+    std::vector<prometheus::Counter*> counters;  ///< null until the first event
     ingress::LoadCounts published;
     prometheus::Gauge* waiting = nullptr;
     prometheus::Gauge* longest_wait = nullptr;
--- a/src/node/load_view.cpp
+++ b/src/node/load_view.cpp
@@ -8,7 +8,7 @@
 
 using Zones = std::map<core::ZoneName, ZoneLoad>;
 
-void take_avoided(ZoneLoad& zone, const ingress::ReplicaState& replica, core::MonotonicTime now) {
+void add_if_avoided(ZoneLoad& zone, const ingress::ReplicaState& replica, core::MonotonicTime now) {
   AvoidedReplica avoided;
   avoided.replica = replica.record.id;
   avoided.is_suspect = replica.is_suspect(now);
@@ -26,14 +26,14 @@
   zone.avoided.push_back(std::move(avoided));
 }
 
-void take_replica(ZoneLoad& zone, const ingress::ReplicaState& replica, core::MonotonicTime now) {
+void add_replica(ZoneLoad& zone, const ingress::ReplicaState& replica, core::MonotonicTime now) {
   zone.running += replica.in_flight;
   if (!replica.accepts_work()) {
     return;
   }
   ++zone.replicas;
   zone.places += replica.record.slots;
-  take_avoided(zone, replica, now);
+  add_if_avoided(zone, replica, now);
 }
 
 }  // namespace
@@ -43,7 +43,7 @@
   std::map<core::ServiceName, Zones> zones;
   for (const auto& [id, replica] : directory.replicas()) {
     ZoneLoad& zone = zones[replica->record.service][replica->record.zone];
-    take_replica(zone, *replica, now);
+    add_replica(zone, *replica, now);
   }
   ingress::LoadLedger::Services requests = ledger.services(now);
   for (const auto& [service, entry] : requests) {
--- a/src/node/load_view.hpp
+++ b/src/node/load_view.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What one process knows of the load, for operators: for each service and zone the places and
-/// the replicas that get no work from here, and what became of the requests. Plain code.
+/// Load of one process as shown to operators: capacity and avoided replicas by service and zone,
+/// and the outcomes of requests.
 #pragma once
 
 #include <vector>
@@ -12,47 +12,48 @@
 
 namespace stoneport::node {
 
-/// A replica that gets no work from this process while others can.
+/// Replica to which this process sends no work as long as other replicas are available.
 struct AvoidedReplica {
   core::ReplicaId replica;
-  bool is_suspect = false;  ///< it was silent or could not be reached
-  bool is_ejected = false;  ///< it failed too large a share of its calls
-  core::Duration left{};    ///< until neither is so any more
+  bool is_suspect = false;  ///< timed out or could not be reached
+  bool is_ejected = false;  ///< failed too large a share of its calls
+  core::Duration left{};    ///< time until it is neither suspect nor ejected
 };
 
-/// The replicas of one service in one zone.
+/// Load of the replicas of one service in one zone.
 struct ZoneLoad {
   core::ZoneName zone;
-  bool is_open = true;         ///< it is not evacuated
-  std::uint32_t replicas = 0;  ///< that accept work
-  std::uint32_t places = 0;    ///< calls that these take at once
-  std::uint32_t running = 0;   ///< calls and texts of this process there
-  std::vector<AvoidedReplica> avoided;
-  std::uint32_t avoided_unnamed = 0;  ///< beyond kMaxAvoidedListed
+  bool is_open = true;         ///< whether the zone is not evacuated
+  std::uint32_t replicas = 0;  ///< number of replicas that accept work
+  std::uint32_t places = 0;    ///< number of concurrent calls that these replicas accept
+  std::uint32_t running = 0;   ///< number of calls and texts of this process in progress there
+  std::vector<AvoidedReplica> avoided;  ///< at most kMaxAvoidedListed
+  std::uint32_t avoided_unnamed = 0;    ///< number of further avoided replicas
 };
 
-/// An operator looks into a few replicas at most; beyond them the number says enough.
+/// Maximum number of avoided replicas listed by name: operators inspect a few at most, for the
+/// rest the count suffices.
 inline constexpr std::size_t kMaxAvoidedListed = 16;
 
 struct ServiceLoad {
   core::ServiceName service;
   ingress::LoadEntry requests;
-  std::vector<ZoneLoad> zones;  ///< in order of name
+  std::vector<ZoneLoad> zones;  ///< ordered by name
 };
 
 struct TenantLoad {
-  core::TenantName tenant;  ///< empty for requests of nobody's
+  core::TenantName tenant;  ///< empty for requests without a tenant
   ingress::LoadEntry requests;
 };
 
 struct LoadView {
-  std::vector<ServiceLoad> services;  ///< with replicas or requests, in order of name
-  ingress::LoadEntry other_services;  ///< without an entry of their own
-  std::vector<TenantLoad> tenants;    ///< who ask most, in order of name
-  ingress::LoadEntry other_tenants;   ///< without an entry of their own
+  std::vector<ServiceLoad> services;  ///< services with replicas or requests, ordered by name
+  ingress::LoadEntry other_services;  ///< sum over services without an entry of their own
+  std::vector<TenantLoad> tenants;    ///< tenants with the most requests, ordered by name
+  ingress::LoadEntry other_tenants;   ///< sum over tenants without an entry of their own
 };
 
-/// Looks at all replicas: for a page that is asked for, not for each request.
+/// Builds the view. Iterates over all replicas, so call it per page view and not per request.
 LoadView load_view(const ingress::ReplicaDirectory& directory, const ingress::LoadLedger& ledger,
                    core::MonotonicTime now);
 
--- a/src/node/member_addresses.hpp
+++ b/src/node/member_addresses.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// To whom news for all processes goes. Plain code.
+/// Addresses of the receivers of broadcasts.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace stoneport::node {
 
-/// \return where the members other than \p self that may live hear gossip.
+/// \return the gossip addresses of all members other than \p self that are not known to be dead.
 std::vector<core::Address> addresses_of_others(const wire::MemberMap& members,
                                                const core::NodeId& self);
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -17,18 +17,18 @@
 namespace asio = boost::asio;
 namespace {
 
-constexpr core::Duration kHandOverCheck = std::chrono::milliseconds(100);
-/// Between two looks at who lives and which replicas are cold: well below the time in which
-/// members notice that one has died.
-constexpr core::Duration kColdLook = std::chrono::milliseconds(250);
+constexpr core::Duration kHandOverPollInterval = std::chrono::milliseconds(100);
+/// Interval between two updates of the live members and cold replicas; well below the time that
+/// members need to detect a dead one.
+constexpr core::Duration kColdTrackInterval = std::chrono::milliseconds(250);
 
-/// Between two looks at how many processes share the store: members are learnt over seconds.
-constexpr core::Duration kPaceLook = std::chrono::seconds(1);
+/// Interval between two updates of the feed interval; the number of members changes over seconds.
+constexpr core::Duration kFeedPaceInterval = std::chrono::seconds(1);
 
-/// Between two updates of the metrics of load, which are read every few seconds at most.
-constexpr core::Duration kLoadLook = std::chrono::seconds(1);
+/// Interval between two updates of the load metrics, which are scraped every few seconds at most.
+constexpr core::Duration kLoadPublishInterval = std::chrono::seconds(1);
 
-std::uint64_t life_of_process(const core::TimeSource& time) {
+std::uint64_t process_start_time(const core::TimeSource& time) {
   return static_cast<std::uint64_t>(time.wall_now().time_since_epoch().count());
 }
 
@@ -99,7 +99,7 @@
     : inputs_(std::move(inputs)),
       settings_(std::move(settings)),
       directory_(settings_.zone_regions),
-      life_number_(life_of_process(inputs_.time)),
+      life_number_(process_start_time(inputs_.time)),
       life_(holder_name(settings_.name, life_number_)),
       directory_random_(seed_for(settings_, life_number_, "directory")),
       window_clock_(inputs_.time, settings_.usage.window_length),
@@ -128,8 +128,8 @@
       usage_publisher_(publisher_inputs(), publisher_settings(life_)),
       cold_census_(inputs_.metrics),
       load_metrics_(inputs_.metrics),
-      evacuated_zones_(inputs_.metrics.gauge("stoneport_evacuated_zones",
-                                             "Zones to whose replicas nothing is sent now")) {
+      evacuated_zones_(inputs_.metrics.gauge(
+          "stoneport_evacuated_zones", "Evacuated zones, to whose replicas nothing is sent")) {
   directory_.gate().cold_pace().replace_bound(settings_.cold_bound);
 }
 
@@ -228,7 +228,7 @@
   coordinator_.start();
   store_watch_.start();
   usage_publisher_.start();
-  runtime::start(inputs_.executor, "cold replicas", follow_cold_replicas());
+  runtime::start(inputs_.executor, "cold replicas", track_cold_replicas());
   runtime::start(inputs_.executor, "pace of feeds", pace_feeds());
   runtime::start(inputs_.executor, "load", publish_load());
 }
@@ -247,21 +247,21 @@
   return living;
 }
 
-asio::awaitable<void> Node::follow_cold_replicas() {
+asio::awaitable<void> Node::track_cold_replicas() {
   while (true) {
     const core::MonotonicTime now = inputs_.time.now();
     if (joined_) {
       directory_.gate().cold_pace().replace_members(settings_.name.value(), cold_senders(), now);
     }
     cold_census_.look(directory_, now);
-    co_await runtime::sleep_for(kColdLook);
+    co_await runtime::sleep_for(kColdTrackInterval);
   }
 }
 
 asio::awaitable<void> Node::publish_load() {
   while (true) {
     load_metrics_.publish(forwarder_.ledger(), inputs_.time.now());
-    co_await runtime::sleep_for(kLoadLook);
+    co_await runtime::sleep_for(kLoadPublishInterval);
   }
 }
 
@@ -302,11 +302,11 @@
 asio::awaitable<void> Node::pace_feeds() {
   while (true) {
     coordinator_.set_feed_interval(feed_interval());
-    co_await runtime::sleep_for(kPaceLook);
+    co_await runtime::sleep_for(kFeedPaceInterval);
   }
 }
 
-/// Members are those that are ready, so a process joins no earlier.
+/// Joins the gossip once this process is ready, because every alive member counts as ready.
 void Node::join_when_ready() {
   if (!joined_ && ready()) {
     joined_ = true;
@@ -423,17 +423,17 @@
   return node::is_isolated(settings_.name, gossip_.members_by_node(), silence, can_reach_others());
 }
 
-std::vector<core::Address> Node::caller_addresses(const CallerLocation& place,
+std::vector<core::Address> Node::caller_addresses(const CallerLocation& location,
                                                   std::string_view host) {
   if (is_isolated()) {
     return {};
   }
-  const AvailableMembers takers =
+  const AvailableMembers candidates =
       available_members({settings_.name, ready(), can_reach_others()}, gossip_.members_by_node());
-  const eligibility::Regions homes = routes_.current()
-                                         ? ingress::regions_of_host(*routes_.current(), host)
-                                         : eligibility::Regions();
-  return select_caller_addresses(takers, place, homes, directory_random_);
+  const eligibility::Regions allowed_regions =
+      routes_.current() ? ingress::regions_of_host(*routes_.current(), host)
+                        : eligibility::Regions();
+  return select_caller_addresses(candidates, location, allowed_regions, directory_random_);
 }
 
 bool Node::can_reach_others() const {
@@ -444,16 +444,16 @@
   return has_other_live_member(settings_.name, gossip_.members_by_node());
 }
 
-asio::awaitable<void> Node::drain(core::Duration longest_hold) {
-  const core::MonotonicTime give_up_at = inputs_.time.now() + longest_hold;
+asio::awaitable<void> Node::drain(core::Duration max_wait) {
+  const core::MonotonicTime wait_until = inputs_.time.now() + max_wait;
   draining_ = true;
   if (joined_) {
     gossip_.announce_leaving();
   }
-  // With nobody to take the jobs over, they are worked on here to the end.
+  // Without a ready successor this process goes on with the jobs.
   while (coordinator_.holds_term() && !has_other_ready_member() &&
-         inputs_.time.now() < give_up_at) {
-    co_await runtime::sleep_for(kHandOverCheck);
+         inputs_.time.now() < wait_until) {
+    co_await runtime::sleep_for(kHandOverPollInterval);
   }
   co_await coordinator_.stop();
   if (joined_) {
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// One process of the system where no machine is set apart: it takes requests,
-/// answers who else does, accepts and reads jobs, and coordinates them while it
-/// holds the term. Owns the parts; belongs to one thread.
+/// One process of the system. All processes are equal: each serves requests, answers which other
+/// processes do, accepts and reads jobs, and coordinates all jobs while it holds the term. Owns the
+/// components; use it on one thread only.
 #pragma once
 
 #include <map>
@@ -31,10 +31,10 @@
 
 namespace stoneport::node {
 
-/// How the usage of tenants is counted and reported.
+/// Settings of counting and reporting the usage of tenants.
 struct UsageSettings {
   core::Duration window_length = std::chrono::seconds(5);
-  bool reports = false;  ///< whether the platform wants reports
+  bool reports = false;  ///< whether usage is reported to the platform
   usage::UsageReporterSettings reporter;
 };
 
@@ -42,20 +42,20 @@
   core::NodeId name;
   core::ZoneName zone;
   core::RegionName region;
-  core::Address caller_address;  ///< where callers reach this process
-  core::Address gossip_address;  ///< UDP between processes
+  core::Address caller_address;  ///< HTTP address for callers
+  core::Address gossip_address;  ///< UDP address for other processes
   std::vector<core::Address> gossip_seeds;
   eligibility::ZoneRegions zone_regions;  ///< the region of each zone
-  eligibility::ColdBound cold_bound;      ///< on what a cold replica may receive
-  double processor_share = 1;             ///< of a core; large machines coordinate first
+  eligibility::ColdBound cold_bound;      ///< limit on the requests sent to a cold replica
+  double processor_share = 1;             ///< CPU cores; larger machines coordinate first
   jobs::CoordinatorSettings coordinator;
   UsageSettings usage;
-  bool orders_replicas = false;  ///< whether the platform takes orders of replicas
+  bool orders_replicas = false;  ///< whether replicas can be ordered from the platform
   LoadControlSettings load_control;
   fleet::ReplicaScalerSettings scaler;
 };
 
-/// What the node works with; all outlive it.
+/// Dependencies of the node, which must outlive it.
 struct NodeInputs {
   boost::asio::any_io_executor executor;
   ports::RecordStore& store;
@@ -73,88 +73,92 @@
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  /// Binds the socket for gossip.
+  /// Binds the gossip socket.
   core::Result<void> open();
   void start();
 
-  /// Takes in what the store tells; a table older than the one in force is dropped.
+  /// Applies a route table from the store; one that is older than the current table is ignored.
   void update_routes(std::shared_ptr<const ingress::RouteTable> table);
-  /// To be called once for the first listing, also when it is empty, and for each change.
+  /// Applies changes to the replica listing. Call it once for the first listing, even if it is
+  /// empty, and for each change after that.
   void apply_replica_changes(ingress::ReplicaChanges changes);
-  /// \return the least time between two answers of a feed of the store, with as many processes
-  /// as are known here.
+  /// \return the minimum time between two answers of a change feed of the store, for the number of
+  /// processes known here.
   core::Duration feed_interval() const;
-  /// How the listing of replicas is read again when all processes do so at the same moment: this
-  /// one's own window first, the rest at a pace, unless it coordinates.
+  /// Returns the options for reading the replica listing again, which may happen in all processes
+  /// at the same moment: this process's own window is read first and the rest is rate-limited,
+  /// unless the process coordinates or is missing replicas of a service.
   records::RereadOptions reread_options() const;
-  /// \return whether the first listing of replicas has come.
+  /// \return whether the first replica listing has been applied.
   bool has_replica_listing() const { return directory_.loaded(); }
   void replace_named_versions(std::map<core::ModelName, core::WeightVersion> versions);
-  /// An answer of \p replica said that it is cold for \p left more.
+  /// Records that an answer of \p replica announced that it stays cold for another \p left.
   void mark_cold(const core::ReplicaId& replica, core::Duration left);
-  /// Takes in which zones the operator has evacuated, as the store lists them as of \p as_of.
+  /// Applies the zones that the operator has evacuated, as listed by the store at revision
+  /// \p as_of.
   void apply_evacuations(eligibility::ListedEvacuations listed, core::Revision as_of);
 
-  /// \return whether callers should be sent here.
+  /// \return whether this process accepts callers.
   bool ready() const;
-  /// \return whether \p binding allows a region of this system; without one, what it binds can
-  /// never be served.
+  /// \return whether \p binding allows at least one region of this system; otherwise requests bound
+  /// by it can never be served.
   bool can_serve_binding(const eligibility::RegionBinding& binding) const;
-  /// \return whether this process is cut off from the others and from the store: whom it
-  /// would name to callers is out of date.
+  /// \return whether this process is cut off from the other processes and from the store, so that
+  /// its membership list is out of date.
   bool is_isolated() const;
-  /// \return addresses of processes that take a caller's requests for \p host; nearest first.
-  std::vector<core::Address> caller_addresses(const CallerLocation& place, std::string_view host);
+  /// \return addresses of processes that accept a caller's requests for \p host, nearest first;
+  /// none while this process is isolated.
+  std::vector<core::Address> caller_addresses(const CallerLocation& location,
+                                              std::string_view host);
 
-  /// \return what is known here of each zone.
+  /// \return this process's view of each zone.
   std::vector<ZoneView> zones() const {
     return zone_views(directory_, evacuated_since_, inputs_.time.now());
   }
-  /// \return who waits, who is refused and why, and where there are places.
+  /// \return this process's view of the load: waiting and refused requests, and capacity.
   LoadView load() const { return load_view(directory_, forwarder_.ledger(), inputs_.time.now()); }
 
   const ingress::RouteTableHolder& routes() const { return routes_; }
-  /// \return the name of this life of this process, as the holder of a term and elsewhere.
+  /// \return the name of this run of this process, used for example as the holder of a term.
   const std::string& life() const { return life_; }
-  /// \return the processes that are known, this one among them.
+  /// \return all known processes, including this one.
   const wire::MemberMap& members() const { return gossip_.members_by_node(); }
   ingress::Forwarder& forwarder() { return forwarder_; }
-  /// \return what keeps requests that crash replicas away from them.
+  /// \return the guard that keeps requests suspected of crashing replicas away from them.
   ingress::CrashGuard& crash_guard() { return forwarder_.guard(); }
   jobs::JobStore& jobs() { return job_store_; }
 
-  /// Leaves the directory, hands the jobs over and takes no part in control any
-  /// more; requests are still served.
-  /// \param longest_hold how long to go on coordinating while nobody else could
-  boost::asio::awaitable<void> drain(core::Duration longest_hold);
-  /// Saves what this process alone knows, once it serves nobody any more.
+  /// Leaves the directory, hands over the jobs and stops coordinating; requests are still served.
+  /// \param max_wait longest time to go on coordinating while no other process could take over
+  boost::asio::awaitable<void> drain(core::Duration max_wait);
+  /// Saves state that only this process has. Call it when no more requests are served.
   boost::asio::awaitable<void> finish(core::Duration limit);
 
  private:
   jobs::CoordinatorInputs coordinator_inputs();
   usage::UsagePublisher::Inputs publisher_inputs();
   std::vector<jobs::TermDutyPointer> make_duties(const jobs::TermContext& context);
-  /// \return whether the usage of tenants is to be reported.
+  /// \return whether the usage of tenants is counted and reported.
   bool counts_usage() const;
-  /// \return the lives of processes that run now, this one among them.
+  /// \return the holder names of all running processes, including this one.
   std::vector<std::string> running_processes() const;
-  /// Takes in what other processes tell about evacuated zones.
+  /// Applies zone notices received by gossip.
   void on_zone_notices();
   void on_evacuations_changed(const std::set<core::ZoneName>& before);
   bool has_other_ready_member() const;
   /// \return whether other processes still answer this one.
   bool can_reach_others() const;
   void join_when_ready();
-  /// \return the processes that may send clients' requests to cold replicas; none while this
-  /// process is cut off and cannot know.
+  /// \return the processes that may send client requests to cold replicas; none while this process
+  /// is isolated, because it cannot know them.
   std::vector<std::string> cold_senders() const;
-  /// \return whether a route leads to a service of which no replica is known.
+  /// \return whether a route targets a service without known replicas.
   bool is_missing_a_service() const;
-  /// Keeps the pace at which this process reads the store to its share.
+  /// Keeps this process's rate of store reads within its share.
   boost::asio::awaitable<void> pace_feeds();
-  /// Tells the gate who shares the sends to cold replicas, and counts these.
-  boost::asio::awaitable<void> follow_cold_replicas();
-  /// Keeps the metrics of load up to date.
+  /// Updates the set of processes that share the sends to cold replicas, and counts cold replicas.
+  boost::asio::awaitable<void> track_cold_replicas();
+  /// Updates the load metrics periodically.
   boost::asio::awaitable<void> publish_load();
 
   NodeInputs inputs_;
@@ -162,11 +166,12 @@
   ingress::RouteTableHolder routes_;
   ingress::ReplicaDirectory directory_;
   std::map<core::ModelName, core::WeightVersion> named_versions_;
-  eligibility::RegionBinding job_regions_;  ///< that all routes of jobs allow
-  /// When this process began. Read once: a name and a member record made of two readings would
-  /// be those of two lives, of which the members take the older one for ended.
+  eligibility::RegionBinding job_regions_;  ///< regions that all routes of jobs allow
+  /// Start time of this process, which numbers its run. Read only once: if the holder name and the
+  /// member record used two clock readings, members would see two runs and consider the older one
+  /// ended.
   std::uint64_t life_number_;
-  std::string life_;  ///< the name of this life of this process
+  std::string life_;  ///< holder name of this run of the process
   core::RandomSource directory_random_;
   usage::WindowClock window_clock_;
   usage::UsageCounter usage_counter_;
@@ -184,7 +189,7 @@
   ingress::ColdCensus cold_census_;
   LoadMetrics load_metrics_;
   prometheus::Gauge& evacuated_zones_;
-  std::map<core::ZoneName, core::MonotonicTime> evacuated_since_;  ///< as learned here
+  std::map<core::ZoneName, core::MonotonicTime> evacuated_since_;  ///< local time of the notice
   bool joined_ = false;
   bool draining_ = false;
 };
--- a/src/node/node_gossip_settings.cpp
+++ b/src/node/node_gossip_settings.cpp
@@ -3,12 +3,13 @@
 namespace stoneport::node {
 namespace {
 
-/// A dead process must leave the directory within a second or two.
+/// A dead process must be removed from the directory within one to two seconds.
 constexpr core::Duration kProbeInterval = std::chrono::milliseconds(250);
 constexpr core::Duration kShortestSuspicion = std::chrono::milliseconds(1500);
-/// Of a process, in the long run. An idle one sends some 350; the rest is for a zone that is
-/// lost or cut off: the other 49 of 74 processes named some of a lost zone for 5.2 to 6.25 s
-/// with 6,000, for 2.15 to 3.4 s with this (virtual network, 3 and 6 seeds).
+/// Long-term send rate of a process. An idle process sends about 350 bytes per second; the rest is
+/// needed when a zone is lost or partitioned. On a simulated network of 74 processes, the 49
+/// processes outside a lost zone still gave out addresses in it for 5.2 to 6.25 s at 6,000 bytes
+/// per second (3 seeds) and for 2.15 to 3.4 s at this rate (6 seeds).
 constexpr std::uint32_t kBytesPerSecond = 24'000;
 
 }  // namespace
--- a/src/node/node_gossip_settings.hpp
+++ b/src/node/node_gossip_settings.hpp
@@ -1,13 +1,13 @@
 /// \file
-/// How fast the processes of a deployment learn of one another's end. Plain code.
+/// Gossip settings of a deployment, which determine how fast failed processes are detected.
 #pragma once
 
 #include "controllers/gossip_state.hpp"
 
 namespace stoneport::node {
 
-/// \return settings by which nobody names a process that ended 7 s ago, also when a whole
-/// zone ends at once or is cut off.
+/// \return settings with which no process gives out the address of one that ended 7 s ago, even if
+/// a whole zone fails or is partitioned at once.
 controllers::GossipSettings node_gossip_settings();
 
 }  // namespace stoneport::node
--- a/src/node/suspect_exchange.cpp
+++ b/src/node/suspect_exchange.cpp
@@ -39,57 +39,57 @@
       settings_(settings),
       broadcasts_(settings.broadcasts, time.now()),
       sent_(metrics.counter("stoneport_suspect_reports_sent_total",
-                            "Packets about requests under which replicas ended")),
-      left_to_refresh_(metrics.counter("stoneport_suspect_news_left_to_refresh_total",
-                                       "Packets of news that the rate kept from going to all "
-                                       "members at once")) {}
+                            "Packets sent that report requests suspected of crashing replicas")),
+      deferred_(metrics.counter("stoneport_suspect_news_left_to_refresh_total",
+                                "Update packets not broadcast because of the rate limit and left "
+                                "to the periodic refresh")) {}
 
 void SuspectExchange::start() {
   guard_.set_self(self_);
   ingress::CrashGuard::Listener listener;
   listener.on_suspect = [this](const quarantine::Suspect& suspect) {
-    new_notices_[suspect.content] = notice_of(suspect);
-    wake();
+    pending_notices_[suspect.content] = notice_of(suspect);
+    schedule_send();
   };
   listener.on_run = [this](const ingress::SuspectRun& run, bool is_over) {
-    new_runs_[run.content] = node::notice_of(run, is_over);
-    wake();
+    pending_runs_[run.content] = node::notice_of(run, is_over);
+    schedule_send();
   };
   guard_.add_listener(std::move(listener));
   runtime::start(executor_, "suspect exchange", run());
 }
 
-void SuspectExchange::wake() {
+void SuspectExchange::schedule_send() {
   if (!is_sending_) {
     is_sending_ = true;
-    runtime::start(executor_, "suspect news", send_news());
+    runtime::start(executor_, "suspect news", send_pending());
   }
 }
 
-asio::awaitable<void> SuspectExchange::send_news() {
+asio::awaitable<void> SuspectExchange::send_pending() {
   co_await runtime::sleep_for(settings_.batch_delay);
   is_sending_ = false;
   std::vector<wire::SuspectNotice> notices;
-  for (auto& [content, notice] : new_notices_) {
+  for (auto& [content, notice] : pending_notices_) {
     notices.push_back(std::move(notice));
   }
   std::vector<wire::SuspectRunNotice> runs;
-  for (auto& [content, run] : new_runs_) {
+  for (auto& [content, run] : pending_runs_) {
     runs.push_back(std::move(run));
   }
-  new_notices_.clear();
-  new_runs_.clear();
-  tell_all(packed(notices, runs));
+  pending_notices_.clear();
+  pending_runs_.clear();
+  broadcast(pack_reports(notices, runs));
 }
 
 asio::awaitable<void> SuspectExchange::run() {
   while (true) {
     co_await runtime::sleep_for(settings_.refresh_interval);
     guard_.forget_old();
-    tell_one();
+    refresh_random_member();
     for (const ingress::SuspectRun& run : guard_.own_runs()) {
-      new_runs_[run.content] = node::notice_of(run, false);
-      wake();
+      pending_runs_[run.content] = node::notice_of(run, false);
+      schedule_send();
     }
   }
 }
@@ -105,23 +105,23 @@
   return notice;
 }
 
-SuspectExchange::Reports SuspectExchange::packed(
+SuspectExchange::Reports SuspectExchange::pack_reports(
     const std::vector<wire::SuspectNotice>& notices,
     const std::vector<wire::SuspectRunNotice>& runs) const {
   wire::GossipPacket empty;
   empty.sender = gossip_.self();
   empty.message = wire::SuspectReport();
-  // The lengths of two lists may take two bytes each.
-  constexpr std::size_t kListLengths = 4;
-  const std::size_t base = wire::size_without_records(empty) + kListLengths;
-  const std::size_t room =
+  // The heads of the two lists may take two bytes each.
+  constexpr std::size_t kListHeadBytes = 4;
+  const std::size_t base = wire::size_without_records(empty) + kListHeadBytes;
+  const std::size_t capacity =
       settings_.max_packet_bytes > base ? settings_.max_packet_bytes - base : 0;
   Reports reports;
   std::size_t left = 0;
   const auto report_with = [&](std::size_t size) -> wire::SuspectReport& {
     if (reports.empty() || size > left) {
       reports.emplace_back();
-      left = room;
+      left = capacity;
     }
     left -= std::min(left, size);
     return reports.back();
@@ -135,11 +135,11 @@
   return reports;
 }
 
-void SuspectExchange::tell_all(const Reports& reports) {
+void SuspectExchange::broadcast(const Reports& reports) {
   const std::vector<core::Address> members = addresses_of_others(gossip_.members_by_node(), self_);
   for (const wire::SuspectReport& report : reports) {
     if (!broadcasts_.try_take(time_.now(), 0)) {
-      left_to_refresh_.Increment();
+      deferred_.Increment();
       continue;
     }
     for (const core::Address& address : members) {
@@ -149,7 +149,7 @@
   }
 }
 
-void SuspectExchange::tell_one() {
+void SuspectExchange::refresh_random_member() {
   const std::vector<core::Address> members = addresses_of_others(gossip_.members_by_node(), self_);
   if (!guard_.has_suspects() || members.empty()) {
     return;
@@ -159,7 +159,7 @@
     notices.push_back(notice_of(suspect));
   }
   const core::Address& chosen = members[random_.uniform(0, members.size() - 1)];
-  const Reports reports = packed(notices, {});
+  const Reports reports = pack_reports(notices, {});
   for (const wire::SuspectReport& report : reports) {
     gossip_.send_message(chosen, report);
   }
--- a/src/node/suspect_exchange.hpp
+++ b/src/node/suspect_exchange.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// Tells the other processes of requests under which replicas ended, and hears of theirs. What is
-/// new goes to every live member at once, within a rate; and while anything is under suspicion
-/// each process tells all that it knows to one member drawn at random, so that one that missed it
-/// (a lost datagram, a cut, a start) knows within seconds. Belongs to the node's thread.
+/// Shares requests that are suspected of crashing replicas with the other processes. Updates are
+/// broadcast to every live member at once, subject to a rate limit. While there are suspects, each
+/// process also sends its full state periodically to one random member, so that a process that
+/// missed an update (by a lost datagram, a partition or a restart) receives it within seconds. Use
+/// it on the node's thread only.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,41 +19,42 @@
 namespace stoneport::node {
 
 struct SuspectExchangeSettings {
-  /// News of one moment goes out together: the connections of a replica that ends break
-  /// within a millisecond.
+  /// Time for which updates are collected into one report. All connections to a crashed replica
+  /// break within a millisecond.
   core::Duration batch_delay = std::chrono::milliseconds(2);
-  /// Between two times that everything is told to one member. A member is told about as often, so
-  /// that one in 400 has heard nothing after 3 s.
+  /// Interval at which the full state is sent to one random member. On average each member also
+  /// receives it once per interval; after 3 s one in 400 has not received it yet.
   core::Duration refresh_interval = std::chrono::milliseconds(500);
-  /// News to all members, in packets to each. Above that, members learn it by the
-  /// refresh_interval.
+  /// Rate limit for broadcasts, in packets per member. Updates above it reach the members by the
+  /// periodic refresh.
   core::TokenBucketSettings broadcasts{.tokens_per_second = 5, .burst = 20};
   std::size_t max_packet_bytes = 1200;
 };
 
 class SuspectExchange {
  public:
-  /// All outlive the exchange.
+  /// All references must outlive the exchange.
   SuspectExchange(boost::asio::any_io_executor executor, controllers::GossipController& gossip,
                   ingress::CrashGuard& guard, core::NodeId self, std::uint64_t seed,
                   const core::TimeSource& time, core::Metrics& metrics,
                   SuspectExchangeSettings settings = {});
 
   void start();
+  /// Applies a received SuspectReport; ignores other messages.
   void on_message(const controllers::ReceivedMessage& message);
 
  private:
   using Reports = std::vector<wire::SuspectReport>;
 
   boost::asio::awaitable<void> run();
-  boost::asio::awaitable<void> send_news();
-  void wake();
+  boost::asio::awaitable<void> send_pending();
+  void schedule_send();
   wire::SuspectNotice notice_of(const quarantine::Suspect& suspect) const;
-  /// \return \p notices and \p runs in as many reports as fit into packets.
-  Reports packed(const std::vector<wire::SuspectNotice>& notices,
-                 const std::vector<wire::SuspectRunNotice>& runs) const;
-  void tell_one();
-  void tell_all(const Reports& reports);
+  /// \return \p notices and \p runs, split into reports that each fit into a packet.
+  Reports pack_reports(const std::vector<wire::SuspectNotice>& notices,
+                       const std::vector<wire::SuspectRunNotice>& runs) const;
+  void refresh_random_member();
+  void broadcast(const Reports& reports);
 
   boost::asio::any_io_executor executor_;
   controllers::GossipController& gossip_;
@@ -63,9 +65,9 @@
   SuspectExchangeSettings settings_;
   core::TokenBucket broadcasts_;
   prometheus::Counter& sent_;
-  prometheus::Counter& left_to_refresh_;
-  std::map<core::RequestFingerprint, wire::SuspectNotice> new_notices_;
-  std::map<core::RequestFingerprint, wire::SuspectRunNotice> new_runs_;
+  prometheus::Counter& deferred_;
+  std::map<core::RequestFingerprint, wire::SuspectNotice> pending_notices_;
+  std::map<core::RequestFingerprint, wire::SuspectRunNotice> pending_runs_;
   bool is_sending_ = false;
 };
 
--- a/src/node/suspect_rows.cpp
+++ b/src/node/suspect_rows.cpp
@@ -21,11 +21,12 @@
 
 std::optional<SuspectRow> decode_suspect_row(const std::string& text) {
   const std::optional<nlohmann::json> json = core::parse_json(text);
-  const bool has_shape = json && json->is_object() && json->contains("generation") &&
-                         (*json)["generation"].is_number_unsigned() && json->contains("ended") &&
-                         (*json)["ended"].is_array() && json->contains("written_ms") &&
-                         (*json)["written_ms"].is_number_integer();
-  if (!has_shape) {
+  const bool is_well_formed = json && json->is_object() && json->contains("generation") &&
+                              (*json)["generation"].is_number_unsigned() &&
+                              json->contains("ended") && (*json)["ended"].is_array() &&
+                              json->contains("written_ms") &&
+                              (*json)["written_ms"].is_number_integer();
+  if (!is_well_formed) {
     return std::nullopt;
   }
   SuspectRow row;
@@ -49,9 +50,10 @@
       time_(time),
       settings_(settings),
       written_(metrics.counter("stoneport_suspect_rows_written_total",
-                               "Rows of requests that are held back, written or removed")),
-      lost_(metrics.counter("stoneport_suspect_rows_lost_total",
-                            "Rows of requests that are held back that the store did not take")) {}
+                               "Rows of quarantined requests written or removed")),
+      lost_(metrics.counter(
+          "stoneport_suspect_rows_lost_total",
+          "Writes of rows of quarantined requests given up after too many attempts")) {}
 
 void SuspectRows::start() {
   ingress::CrashGuard::Listener listener;
@@ -63,7 +65,7 @@
   runtime::start(executor_, "held requests", load());
 }
 
-bool SuspectRows::take(const ports::Record& record, ports::StoreTime now) {
+bool SuspectRows::restore(const ports::Record& record, ports::StoreTime now) {
   const std::optional<SuspectRow> row = decode_suspect_row(record.value);
   if (!row) {
     core::log_decision(core::DecisionEvent::kRowUndecodable, {{"key", record.key}});
@@ -91,10 +93,10 @@
       continue;
     }
     const ports::StoreTime now = page->answered_at.value_or(ports::StoreTime(0));
-    std::size_t taken = 0;
+    std::size_t restored = 0;
     for (const ports::Record& record : page->records) {
-      if (taken < settings_.max_rows && take(record, now)) {
-        ++taken;
+      if (restored < settings_.max_rows && restore(record, now)) {
+        ++restored;
       } else {
         write(core::RequestFingerprint(record.key), std::nullopt);
       }
@@ -111,7 +113,7 @@
 }
 
 void SuspectRows::write(const core::RequestFingerprint& content, std::optional<SuspectRow> row) {
-  waiting_[content.value()] = std::move(row);
+  pending_[content.value()] = std::move(row);
   if (!is_writing_) {
     is_writing_ = true;
     runtime::start(executor_, "held requests", write_all());
@@ -119,9 +121,9 @@
 }
 
 asio::awaitable<void> SuspectRows::write_all() {
-  std::uint32_t tries = 0;
-  while (!waiting_.empty()) {
-    const auto next = *waiting_.begin();
+  std::uint32_t attempts = 0;
+  while (!pending_.empty()) {
+    const auto next = *pending_.begin();
     ports::RecordTransaction transaction;
     const std::optional<std::string> value =
         next.second ? std::optional(encode_suspect_row(*next.second)) : std::nullopt;
@@ -130,7 +132,7 @@
         co_await store_.commit(std::move(transaction), settings_.timeout);
     if (done) {
       written_.Increment();
-    } else if (++tries < settings_.max_write_attempts) {
+    } else if (++attempts < settings_.max_write_attempts) {
       co_await runtime::sleep_for(settings_.retry_delay);
       continue;
     } else {
@@ -138,10 +140,10 @@
       core::log_decision(core::DecisionEvent::kCommitFailed,
                          {{"row", next.first}, {"reason", done.error().message}});
     }
-    tries = 0;
-    const auto current = waiting_.find(next.first);
-    if (current != waiting_.end() && current->second == next.second) {
-      waiting_.erase(current);  // otherwise it has changed meanwhile and is written again
+    attempts = 0;
+    const auto current = pending_.find(next.first);
+    if (current != pending_.end() && current->second == next.second) {
+      pending_.erase(current);  // a row that changed meanwhile is written again
     }
   }
   is_writing_ = false;
--- a/src/node/suspect_rows.hpp
+++ b/src/node/suspect_rows.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Keeps requests that are held back in the store, so that they are known after all processes
-/// have gone at once. Written when the last end is noted and when an operator lets one go, read
-/// once in each life of a process; between processes the exchange spreads them. Belongs to the
-/// node's thread.
+/// Persists quarantined requests in the store, so that they survive a restart of all processes. A
+/// row is written when the crash that leads to the quarantine is recorded, removed when an operator
+/// releases the request, and read once at process start; SuspectExchange distributes the state
+/// between running processes. Use it on the node's thread only.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,18 +18,18 @@
 inline constexpr const char* kSuspectTable = "held_requests";
 
 struct SuspectRowSettings {
-  /// Rows that are older are dropped when they are read. Longer than the processes' own memory
-  /// (ten minutes), so that a long outage of all of them loses nothing.
+  /// Age above which a row is dropped when it is read. Longer than the in-memory retention (ten
+  /// minutes), so that a long outage of all processes loses nothing.
   std::chrono::milliseconds retention = std::chrono::hours(1);
   core::Duration timeout = std::chrono::milliseconds(1000);
   core::Duration retry_delay = std::chrono::milliseconds(300);
-  /// Tries of one write; a store that is away for longer has the row missing.
+  /// Maximum number of attempts of one write; after that the row is missing from the store.
   std::uint32_t max_write_attempts = 100;
-  /// Rows that are read at the start.
+  /// Maximum number of rows restored at the start; the rest is deleted.
   std::size_t max_rows = 256;
 };
 
-/// What stands in one row.
+/// Content of one row.
 struct SuspectRow {
   std::uint64_t generation = 0;
   std::set<core::ReplicaId> ended;
@@ -38,12 +38,12 @@
   bool operator==(const SuspectRow&) const = default;
 };
 std::string encode_suspect_row(const SuspectRow& row);
-/// \return nothing for a text that is no row.
+/// \return the row; nullopt if \p text is malformed.
 std::optional<SuspectRow> decode_suspect_row(const std::string& text);
 
 class SuspectRows {
  public:
-  /// All outlive this.
+  /// All references must outlive this object.
   SuspectRows(boost::asio::any_io_executor executor, ports::RecordStore& store,
               ingress::CrashGuard& guard, const core::TimeSource& time, core::Metrics& metrics,
               SuspectRowSettings settings = {});
@@ -52,11 +52,11 @@
  private:
   boost::asio::awaitable<void> load();
   boost::asio::awaitable<void> write_all();
-  /// Writes \p row under \p content, or removes the row there when it is none.
+  /// Writes \p row for \p content in the background, or removes the row if it is nullopt.
   void write(const core::RequestFingerprint& content, std::optional<SuspectRow> row);
   void on_suspect(const quarantine::Suspect& suspect);
-  /// \return whether the row was taken in; otherwise it is to be dropped.
-  bool take(const ports::Record& record, ports::StoreTime now);
+  /// \return whether the row was applied; otherwise it is to be deleted.
+  bool restore(const ports::Record& record, ports::StoreTime now);
 
   boost::asio::any_io_executor executor_;
   ports::RecordStore& store_;
@@ -65,8 +65,8 @@
   SuspectRowSettings settings_;
   prometheus::Counter& written_;
   prometheus::Counter& lost_;
-  /// Writes that wait, by key; no row removes it.
-  std::map<std::string, std::optional<SuspectRow>> waiting_;
+  /// Pending writes by key; nullopt deletes the row.
+  std::map<std::string, std::optional<SuspectRow>> pending_;
   bool is_writing_ = false;
 };
 
--- a/src/node/term_region.hpp
+++ b/src/node/term_region.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// In which regions the jobs are to be coordinated: texts of jobs go from the coordinator to
-/// replicas, so that it must be where the jobs' routes allow. Plain code.
+/// Regions in which jobs may be coordinated. The coordinator sends the texts of jobs to replicas,
+/// so it must run in a region that the routes of the jobs allow.
 #pragma once
 
 #include "eligibility/region_binding.hpp"
@@ -9,9 +9,9 @@
 namespace stoneport::node {
 
 /// \param own region of this process
-/// \param jobs what all routes of jobs allow; where they allow nothing in common, no region is
-/// better than another
-/// \return whether a process in an allowed region is alive while this one is in none.
+/// \param jobs regions that all routes of jobs allow; if they have none in common, no region is
+/// preferred
+/// \return whether this process is outside the allowed regions while a live process is in one.
 bool has_coordinator_elsewhere(const core::RegionName& own, const eligibility::RegionBinding& jobs,
                                const wire::MemberMap& members);
 
--- a/src/node/zone_views.hpp
+++ b/src/node/zone_views.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What one process knows of each zone, for operators: whether it is evacuated, and how much
-/// this process still has there. Plain code.
+/// View of the zones as shown to operators: whether a zone is evacuated, and the replicas and calls
+/// that this process still has there.
 #pragma once
 
 #include <map>
@@ -15,15 +15,16 @@
 
 struct ZoneView {
   core::ZoneName zone;
-  core::RegionName region;  ///< empty when the settings do not name it
-  std::optional<core::Duration> evacuated_for = std::nullopt;  ///< known here; none when open
-  std::uint32_t replicas = 0;                                  ///< listed
+  core::RegionName region;  ///< empty if the settings do not define it
+  /// Time since this process learned of the evacuation; nullopt if the zone is not evacuated.
+  std::optional<core::Duration> evacuated_for = std::nullopt;
+  std::uint32_t replicas = 0;  ///< number of listed replicas
   std::uint32_t cold_replicas = 0;
-  std::uint32_t in_flight = 0;  ///< calls and texts of this process
+  std::uint32_t in_flight = 0;  ///< number of calls and texts of this process
 };
 
-/// \param evacuated_since when this process learned of each zone that is evacuated now
-/// \return the zones that the settings, a replica or an evacuation names, in order of name.
+/// \param evacuated_since for each evacuated zone, the time at which this process learned of it
+/// \return the zones named by the settings, a replica or an evacuation, ordered by name.
 std::vector<ZoneView> zone_views(
     const ingress::ReplicaDirectory& directory,
     const std::map<core::ZoneName, core::MonotonicTime>& evacuated_since, core::MonotonicTime now);
--- a/src/ports/engine_codec.hpp
+++ b/src/ports/engine_codec.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The JSON dialect of a model engine (docs/EMULATOR.md): requests to text,
-/// answers and stream events to typed values. Plain functions.
+/// Codec of a model engine's JSON protocol (docs/EMULATOR.md): encodes requests and parses answers
+/// and stream events.
 #pragma once
 
 #include <string>
@@ -20,13 +20,13 @@
 core::Result<std::vector<StreamStatus>> parse_streams(const std::string& body);
 core::Result<KvExport> parse_export(const core::StreamId& stream, const std::string& body);
 
-/// Checks the events of one stream in their order: its own identifier, offsets
-/// without a hole, a total that matches.
+/// Parses the events of one stream in order and checks the stream id, that the offsets have no
+/// gap, and the total token count.
 class StreamEventParser {
  public:
   StreamEventParser(core::StreamId stream, std::uint64_t offset)
       : stream_(std::move(stream)), next_offset_(offset) {}
-  /// \return kProtocol for an event that does not continue the stream.
+  /// \return the item; kProtocol if the event does not continue the stream.
   core::Result<StreamItem> parse(const std::string& data);
 
  private:
--- a/src/ports/guarded_table_service.cpp
+++ b/src/ports/guarded_table_service.cpp
@@ -6,10 +6,10 @@
 namespace {
 using core::ErrorCode;
 
-/// Shortest pause while another call's probe is out.
+/// Shortest wait while the probe of another call is in progress.
 constexpr core::Duration kProbePoll = std::chrono::milliseconds(20);
 
-/// \return whether the failed attempt surely took no effect and may be repeated.
+/// \return whether the failed attempt certainly had no effect and may be repeated.
 bool was_refused(ErrorCode code) {
   return code == ErrorCode::kUnavailable || code == ErrorCode::kRateLimited;
 }
@@ -33,7 +33,7 @@
   return was_refused(code) || code == ErrorCode::kDeadlineExceeded || code == ErrorCode::kTruncated;
 }
 
-/// \return whether the failure speaks against the store's health.
+/// \return whether the failure indicates an unhealthy service.
 bool counts_against_breaker(ErrorCode code) {
   return code == ErrorCode::kUnavailable || is_ambiguous(code);
 }
@@ -51,10 +51,11 @@
 }
 
 core::Error unknown_outcome(const std::string& last) {
-  return core::make_error(ErrorCode::kOutcomeUnknown, "a commit's answer was lost; last: " + last);
+  return core::make_error(ErrorCode::kOutcomeUnknown,
+                          "the answer to a commit was lost; last error: " + last);
 }
 
-/// Frees the breaker's probe when a call is destroyed before its end.
+/// Releases the breaker's probe if the call is destroyed before its result is reported.
 class BreakerPermit {
  public:
   explicit BreakerPermit(core::CircuitBreaker& breaker) : breaker_(breaker) {}
@@ -78,7 +79,7 @@
   explicit Counters(core::Metrics& metrics) : metrics_(metrics) {}
 
   prometheus::Counter& outcome(const char* call, std::string_view end) {
-    return metrics_.counter("stoneport_table_calls_total", "Calls to the table service by end",
+    return metrics_.counter("stoneport_table_calls_total", "Calls to the table service by result",
                             {{"call", call}, {"end", std::string(end)}});
   }
   prometheus::Counter& refusal(const char* reason, TablePriority priority) {
@@ -97,12 +98,12 @@
   prometheus::Counter& settled_committed = outcome("commit", "settled_committed");
   prometheus::Counter& settled_conflict = outcome("commit", "settled_conflict");
   prometheus::Counter& retries =
-      metrics_.counter("stoneport_table_retries_total", "Attempts after a first failed one");
+      metrics_.counter("stoneport_table_retries_total", "Retries of calls to the table service");
   prometheus::Counter& breaker_opened =
       metrics_.counter("stoneport_table_breaker_opened_total", "Times the circuit breaker opened");
 };
 
-/// What one call has used up: its deadline and its attempts.
+/// Deadline and number of attempts of one call.
 class GuardedTableService::Attempts {
  public:
   Attempts(TablePriority priority, core::MonotonicTime deadline)
@@ -175,7 +176,7 @@
   const double reserve = reserve_of(attempts.priority());
   const core::Duration token_wait = budget_.wait_for(now, reserve);
   if (token_wait > core::Duration::zero()) {
-    return core::make_error(ErrorCode::kRateLimited, "the call budget is used up", token_wait);
+    return core::make_error(ErrorCode::kRateLimited, "the call budget is exhausted", token_wait);
   }
   if (!breaker_.allow(now)) {
     const core::Duration wait = std::max(breaker_.wait_for(now), kProbePoll);
--- a/src/ports/guarded_table_service.hpp
+++ b/src/ports/guarded_table_service.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Stands around the bare client of the table service: token budget with
-/// priorities, deadlines, circuit breaker, retries, and the settling of commits
-/// whose answer was lost. Control thread only. docs/design/table-service.md
+/// Decorator of the table service client that adds a token budget with priorities, deadlines, a
+/// circuit breaker, retries, and the resolution of commits whose answer was lost. Use it on the
+/// control thread only. See docs/design/table-service.md.
 #pragma once
 
 #include <memory>
@@ -14,19 +14,19 @@
 
 namespace stoneport::ports {
 
-/// Longest time of one attempt, to be set on the bare client's endpoint: a call
-/// ends at its deadline plus this, at the latest.
+/// Timeout of one attempt, to be set on the endpoint of the wrapped client. A call ends at the
+/// latest at its deadline plus this timeout.
 inline constexpr core::Duration kTableAttemptTimeout = std::chrono::seconds(1);
 
 struct GuardSettings {
   core::TokenBucketSettings budget;
-  /// Part of the burst that is kept for kOwnership.
+  /// Share of the burst that is reserved for kOwnership.
   double ownership_reserve_ratio = 0.3;
-  /// Further part that is kept from kBackground.
+  /// Additional share that kBackground must not use.
   double interactive_reserve_ratio = 0.3;
   core::CircuitBreakerSettings breaker;
   core::BackoffSettings backoff;
-  /// No attempt starts later than this after the call, by priority.
+  /// Time after the call at which no further attempt is started, by priority.
   core::Duration ownership_deadline = std::chrono::seconds(3);
   core::Duration interactive_deadline = std::chrono::seconds(3);
   core::Duration background_deadline = std::chrono::seconds(10);
@@ -34,8 +34,8 @@
 
 class GuardedTableService : public TableService {
  public:
-  /// \p bare and \p time outlive the guard.
-  /// \param seed of the jitter; differs from process to process
+  /// \param bare wrapped client; like \p time, it must outlive the guard
+  /// \param seed seed of the backoff jitter; must differ between processes
   GuardedTableService(TableService& bare, const core::TimeSource& time, GuardSettings settings,
                       std::uint64_t seed, core::Metrics& metrics);
   ~GuardedTableService() override;
@@ -45,9 +45,9 @@
   boost::asio::awaitable<core::Result<std::vector<Row>>> scan(std::string table, std::string prefix,
                                                               core::Revision after,
                                                               TablePriority priority) override;
-  /// Sends \p transaction again under its write id until its end is known.
-  /// \return kOutcomeUnknown when an answer was lost and no later attempt told;
-  /// kInvalidArgument for an empty write id.
+  /// Repeats \p transaction with the same write id until its outcome is known.
+  /// \return the new revision; kOutcomeUnknown if an answer was lost and no later attempt revealed
+  /// the outcome; kInvalidArgument if the write id is empty.
   boost::asio::awaitable<core::Result<core::Revision>> commit(Transaction transaction,
                                                               TablePriority priority) override;
 
@@ -61,15 +61,15 @@
   boost::asio::awaitable<core::Result<void>> admit(Attempts& attempts);
   core::Result<void> admit_now(Attempts& attempts);
   /// Waits before the next attempt.
-  /// \return false when it would start after the deadline.
+  /// \return false if that attempt would start after the deadline.
   boost::asio::awaitable<bool> wait_for_next(Attempts& attempts, core::Error failure);
   template <class Value, class Call>
   boost::asio::awaitable<core::Result<Value>> read_with_retries(Call call, TablePriority priority);
   boost::asio::awaitable<core::Result<core::Revision>> attempt_commit(Transaction transaction,
                                                                       Attempts& attempts);
-  /// \return what the caller of a commit is told after its last attempt failed.
+  /// \return the error of a commit whose last attempt failed with \p failure.
   core::Error end_of_commit(const core::Error& failure, bool may_have_committed);
-  /// Tells the breaker how a call ended; nothing means success.
+  /// Reports the result of a call to the breaker; nullopt means success.
   void record(std::optional<core::ErrorCode> failure);
   core::Duration deadline_of(TablePriority priority) const;
   double reserve_of(TablePriority priority) const;
--- a/src/ports/http_endpoint.cpp
+++ b/src/ports/http_endpoint.cpp
@@ -27,7 +27,7 @@
   return core::from_seconds(std::min(seconds, kLongestRetryAfterSeconds));
 }
 
-/// The {"code","message"} document of an error; empty where the body is none.
+/// The {"code","message"} document of an error response; empty if the body is not one.
 struct ErrorDocument {
   std::string code;
   std::string message;
@@ -90,7 +90,7 @@
     return error;
   }
   if (error.code == ErrorCode::kTruncated || error.code == ErrorCode::kOutcomeUnknown) {
-    error.code = ErrorCode::kUnavailable;  // a read has no outcome to be unsure of
+    error.code = ErrorCode::kUnavailable;  // a read has no effect whose outcome could be unknown
   }
   return error;
 }
--- a/src/ports/http_endpoint.hpp
+++ b/src/ports/http_endpoint.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the HTTP clients of the ports share: one call to one address, and how
-/// its failures map to errors. Lives on the thread of its http::Client.
+/// Common base of the ports' HTTP clients: makes one call to one address and maps failures to
+/// errors. Use it on the thread of its http::Client only.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,28 +13,27 @@
 
 namespace stoneport::ports {
 
-/// Whether a call may change something on the other side. It decides what a
-/// lost answer means.
+/// Whether a call may have side effects on the server, which determines the error code of a lost
+/// answer.
 enum class CallKind { kRead, kEffect };
 
 struct EndpointSettings {
-  core::Duration timeout = std::chrono::seconds(5);  ///< of a call without a deadline of its own
+  core::Duration timeout = std::chrono::seconds(5);  ///< default, for calls without a deadline
   core::Duration connect_timeout = std::chrono::seconds(1);
   std::uint64_t max_answer_bytes = std::uint64_t{64} << 20;
 };
 
-/// \return the error that a failed exchange stands for. An effect that may have
-/// been sent is kOutcomeUnknown, one that was not is kUnavailable.
+/// \return the error for a failed exchange. A kEffect call gives kOutcomeUnknown if the request may
+/// have been sent and kUnavailable if not.
 core::Error error_of(const http::ClientError& failure, CallKind kind);
 
-/// \return the error that a status of 300 or above stands for, with its
-/// Retry-After. 429 and 503 mean that nothing took effect; other 5xx leave an
-/// effect open.
+/// \return the error for a response with a status of 300 or above, including its Retry-After. 429
+/// and 503 mean that nothing took effect; after other 5xx the outcome of an effect is unknown.
 core::Error error_of(const http::Response& response, CallKind kind);
 
 class HttpEndpoint {
  public:
-  /// \p client and \p time outlive the endpoint.
+  /// \p client and \p time must outlive the endpoint.
   HttpEndpoint(http::Client& client, core::Address address, const core::TimeSource& time,
                EndpointSettings settings = {});
 
@@ -44,8 +43,8 @@
   boost::asio::awaitable<core::Result<std::string>> put(std::string target, std::string body,
                                                         std::string content_type) const;
   boost::asio::awaitable<core::Result<std::string>> erase(std::string target) const;
-  /// Sends \p request and ends at \p deadline.
-  /// \return the body of a 2xx answer.
+  /// Sends \p request and waits for the answer until \p deadline.
+  /// \return the body of a 2xx answer; otherwise an error, see error_of().
   boost::asio::awaitable<core::Result<std::string>> call(http::Request request, CallKind kind,
                                                          core::MonotonicTime deadline) const;
 
--- a/src/ports/http_machine_list.cpp
+++ b/src/ports/http_machine_list.cpp
@@ -5,12 +5,12 @@
 namespace stoneport::ports {
 namespace {
 
-/// As long as a name in a packet between daemons may be.
-constexpr std::size_t kLongestId = 128;
+/// Same limit as for names in gossip packets.
+constexpr std::size_t kMaxIdBytes = 128;
 
 std::string decode_id(const JsonFields& fields) {
   std::string id = fields.text("id");
-  if (id.empty() || id.size() > kLongestId) {
+  if (id.empty() || id.size() > kMaxIdBytes) {
     fields.reject("id", "1 to 128 bytes are expected");
   }
   return id;
--- a/src/ports/http_machine_list.hpp
+++ b/src/ports/http_machine_list.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP client of the machine list (docs/EMULATOR.md).
+/// HTTP client of the machine list (docs/EMULATOR.md).
 #pragma once
 
 #include "ports/http_endpoint.hpp"
--- a/src/ports/http_model_engine.cpp
+++ b/src/ports/http_model_engine.cpp
@@ -26,7 +26,7 @@
   return {};
 }
 
-/// A stream over the events of one response.
+/// TokenStream that reads the events of one HTTP response.
 class HttpTokenStream : public TokenStream {
  public:
   HttpTokenStream(std::unique_ptr<http::ClientResponse> response, core::StreamId stream,
@@ -53,7 +53,8 @@
       co_return event.error();
     }
     if (!*event) {
-      co_return core::make_error(ErrorCode::kTruncated, "the stream ended before its end mark");
+      co_return core::make_error(ErrorCode::kTruncated,
+                                 "the connection ended before the stream's end mark");
     }
     co_return std::move(**event);
   }
@@ -72,7 +73,8 @@
       co_return mark.error();
     }
     if (*mark != kDoneMark) {
-      co_return core::make_error(ErrorCode::kProtocol, "an event after the stream's end");
+      co_return core::make_error(ErrorCode::kProtocol,
+                                 "event received after the end of the stream");
     }
     co_return item;
   }
@@ -83,7 +85,8 @@
   bool ended_ = false;
 };
 
-/// Reads the error document of a refused stream; a cut one changes nothing.
+/// Reads the error document of a refused stream. If the body is truncated, the error is derived
+/// from the status alone.
 boost::asio::awaitable<core::Error> read_refusal(http::ClientResponse& response, CallKind kind) {
   http::Response refusal;
   refusal.head = response.head();
--- a/src/ports/http_model_engine.hpp
+++ b/src/ports/http_model_engine.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The HTTP client of one model engine and the factory that keeps one client
-/// for each address. Both live on the thread of their http::Client.
+/// HTTP client of a model engine, and a factory that keeps one client per address. Use both on the
+/// thread of their http::Client only.
 #pragma once
 
 #include <map>
@@ -40,7 +40,7 @@
 
 class HttpModelEngineFactory : public ModelEngineFactory {
  public:
-  /// \p client and \p time outlive the factory and the engines it gave out.
+  /// \p client and \p time must outlive the factory and the engines it returned.
   HttpModelEngineFactory(http::Client& client, const core::TimeSource& time,
                          EndpointSettings settings = {})
       : client_(&client), time_(&time), settings_(settings) {}
--- a/src/ports/http_scoring_service.hpp
+++ b/src/ports/http_scoring_service.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP client of a scoring service (docs/EMULATOR.md).
+/// HTTP client of a scoring service (docs/EMULATOR.md).
 #pragma once
 
 #include "ports/http_endpoint.hpp"
--- a/src/ports/http_table_service.cpp
+++ b/src/ports/http_table_service.cpp
@@ -72,7 +72,7 @@
       body, [](const JsonFields& fields) { return core::Revision(fields.unsigned64("revision")); });
   if (!revision) {
     return core::make_error(core::ErrorCode::kOutcomeUnknown,
-                            "unreadable answer of a commit: " + revision.error().message);
+                            "the answer to a commit cannot be parsed: " + revision.error().message);
   }
   return revision;
 }
--- a/src/ports/http_table_service.hpp
+++ b/src/ports/http_table_service.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The bare HTTP client of the table service (docs/EMULATOR.md): one call, one
-/// request, no retry. GuardedTableService stands around it.
+/// HTTP client of the table service (docs/EMULATOR.md). Each call sends one request and is not
+/// retried; GuardedTableService adds retries.
 #pragma once
 
 #include "ports/http_endpoint.hpp"
@@ -17,7 +17,7 @@
   boost::asio::awaitable<core::Result<std::vector<Row>>> scan(std::string table, std::string prefix,
                                                               core::Revision after,
                                                               TablePriority priority) override;
-  /// kOutcomeUnknown also where a success could not be read.
+  /// Returns kOutcomeUnknown also if a success response cannot be parsed.
   boost::asio::awaitable<core::Result<core::Revision>> commit(Transaction transaction,
                                                               TablePriority priority) override;
 
--- a/src/ports/json_fields.hpp
+++ b/src/ports/json_fields.hpp
@@ -1,6 +1,5 @@
 /// \file
-/// Strict reading of JSON answers, without exceptions. Plain code; a document
-/// belongs to the function that parses it.
+/// Strict, exception-free reading of JSON answers.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +14,11 @@
 
 namespace stoneport::ports {
 
-/// Reads the fields of one JSON object. A missing field or one of another type
-/// gives a default value and sets the document's error, which the caller checks
-/// once, after the last field.
+/// Reads the fields of a JSON object. A field that is missing or has the wrong type yields a
+/// default value and sets the document's error, which the caller checks once, after the last field.
 class JsonFields {
  public:
-  /// \param error where the first fault is kept
+  /// \param error receives the first error
   JsonFields(const nlohmann::json& object, std::optional<core::Error>& error);
 
   std::string text(std::string_view field) const;
@@ -28,11 +26,11 @@
   bool flag(std::string_view field) const;
   std::uint64_t unsigned64(std::string_view field) const;
   std::uint32_t unsigned32(std::string_view field) const;
-  /// \return nothing when the field is missing or null.
+  /// \return the value; nullopt if the field is missing or null.
   std::optional<std::uint64_t> optional_unsigned64(std::string_view field) const;
   std::vector<JsonFields> objects(std::string_view field) const;
   bool has(std::string_view field) const;
-  /// Records a fault that the caller found in a field's value.
+  /// Sets the document's error because the caller found the field's value to be invalid.
   void reject(std::string_view field, std::string_view reason) const;
 
  private:
@@ -44,10 +42,10 @@
 /// One parsed JSON document whose root is an object.
 class JsonDocument {
  public:
-  /// \return kProtocol when \p text is no JSON object.
+  /// \return the document; kProtocol if \p text is not a JSON object.
   static core::Result<JsonDocument> parse(std::string_view text);
   JsonFields root() { return JsonFields(value_, error_); }
-  /// \return kProtocol when a field was missing or of a wrong type.
+  /// \return kProtocol if a field that was read was missing or invalid.
   core::Result<void> status() const;
 
  private:
@@ -55,11 +53,11 @@
   std::optional<core::Error> error_;
 };
 
-/// \return kInvalidArgument when a string within \p value is not UTF-8.
+/// \return \p value as JSON text; kInvalidArgument if it contains a string that is not UTF-8.
 core::Result<std::string> encode_json(const nlohmann::json& value);
 
-/// Parses \p text and decodes its root with \p decode (JsonFields to a value).
-/// \return kProtocol when the text or one of its fields is not as expected.
+/// Parses \p text and converts its root object with \p decode (JsonFields to a value).
+/// \return the value; kProtocol if the text is not a JSON object or a field is missing or invalid.
 template <class Decode>
 auto decode_json(std::string_view text, Decode decode)
     -> core::Result<decltype(decode(std::declval<JsonFields>()))> {
--- a/src/ports/machine_list.hpp
+++ b/src/ports/machine_list.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Port to the platform's list of live and leaving machines. It lags behind
-/// reality: a hint of who may be there, never proof of life.
+/// Port to the platform's list of live and leaving machines. The list lags behind; it is a hint for
+/// discovery and no evidence that a machine is alive.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,10 +16,10 @@
 enum class MachineState { kLive, kLeaving };
 
 struct Machine {
-  std::string id;  ///< a NodeId or a ReplicaId, by role
+  std::string id;  ///< NodeId or ReplicaId, depending on the role
   MachineRole role = MachineRole::kNode;
   std::string serves;     ///< model or service name; empty for a node
-  core::Address address;  ///< HTTP for back ends, gossip (UDP) for nodes
+  core::Address address;  ///< HTTP for engines and services, gossip (UDP) for nodes
   core::ZoneName zone;
   core::RegionName region;
   core::Incarnation incarnation;
--- a/src/ports/model_engine.hpp
+++ b/src/ports/model_engine.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Port to one model engine. Typed terms of the domain; the engine's HTTP
-/// dialect stays in http_model_engine.cpp.
+/// Port to a model engine. The types are independent of the engine's HTTP protocol, which is
+/// implemented in http_model_engine.cpp.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -18,7 +18,7 @@
 namespace stoneport::ports {
 
 struct GenerationRequest {
-  core::StreamId stream;  ///< chosen by us; unique over engines and attempts
+  core::StreamId stream;  ///< chosen by the caller; unique across engines and attempts
   core::ModelName model;
   std::optional<core::AdapterName> adapter;
   std::string prompt;
@@ -26,35 +26,35 @@
   std::int32_t priority = 0;  ///< higher runs first
   double temperature = 1.0;
   std::uint64_t seed = 0;
-  /// Fences out an older owner of the same work; zero means unowned.
+  /// Fencing token against older owners of the same work; zero means unowned.
   core::Epoch epoch;
 };
 
-/// Consecutive tokens made by one weight version.
+/// Consecutive tokens generated with one weight version.
 struct TokenChunk {
-  std::uint64_t offset = 0;  ///< of its first token in the generated text
+  std::uint64_t offset = 0;  ///< position of the first token in the stream
   std::uint32_t token_count = 0;
   std::string text;
-  /// As the engine stamped it; a chunk without one cannot be attributed.
+  /// Version reported by the engine; without it the chunk cannot be attributed to a version.
   std::optional<core::WeightVersion> version;
 };
 
 enum class FinishReason { kStop, kLength, kCancelled };
 struct StreamEnd {
   FinishReason reason = FinishReason::kStop;
-  std::uint64_t token_count = 0;  ///< over the whole stream
+  std::uint64_t token_count = 0;  ///< total of the stream
 };
 using StreamItem = std::variant<TokenChunk, StreamEnd>;
 
-/// One running generation. Destroying it closes the connection; the engine goes
-/// on until cancel_stream() or its own time limit, so it can be resumed.
+/// Connection to a running generation. Destroying it closes the connection; the engine continues
+/// until cancel_stream() or its own time limit, so the stream can be resumed.
 class TokenStream {
  public:
   virtual ~TokenStream() = default;
-  /// \return the next item; nothing follows a StreamEnd. kTruncated when the
-  /// connection ended before it, kCancelled after cancel().
+  /// \return the next item, of which StreamEnd is the last; kTruncated if the connection ended
+  /// before the StreamEnd, kCancelled after cancel().
   virtual boost::asio::awaitable<core::Result<StreamItem>> next() = 0;
-  /// Ends a pending next() and closes the connection.
+  /// Aborts a pending next() and closes the connection.
   virtual void cancel() = 0;
 };
 
@@ -62,11 +62,11 @@
   core::StreamId stream;
   std::uint64_t token_count = 0;
   bool finished = false;
-  /// Why it ended; nothing while it runs, or when the engine does not say.
+  /// Reason of the end; nullopt while the stream runs or if the engine does not report it.
   std::optional<FinishReason> finish_reason = std::nullopt;
 };
 
-/// Handle to a stream's KV cache, exported by one engine for another.
+/// Handle to the KV cache of a stream, exported by one engine for import by another.
 struct KvExport {
   core::StreamId stream;
   std::string handle;
@@ -76,8 +76,7 @@
 
 enum class EngineRole { kMixed, kPrefill, kDecode };
 
-/// As the engine says of itself; the load figures lag, the version does not
-/// claim to be of this instant either.
+/// Status reported by an engine. The load figures and the version may be out of date.
 struct EngineReport {
   core::Incarnation incarnation;
   core::ModelName model;
@@ -90,7 +89,7 @@
   std::uint64_t kv_used_tokens = 0;
   std::uint64_t kv_capacity_tokens = 0;
   double tokens_per_second = 0;
-  core::Duration report_age{};  ///< how old the load figures are
+  core::Duration report_age{};  ///< age of the load figures
   bool swapping = false;
   bool leaving = false;
 };
@@ -103,10 +102,9 @@
 struct CacheEvents {
   std::vector<CacheEvent> events;
   std::uint64_t latest_sequence = 0;
-  bool gap = false;  ///< some events between are lost; what was known is stale
+  bool gap = false;  ///< events were lost, so the known cache content is stale
 };
 
-/// Orders carry an epoch; the engine refuses one below the highest it has seen.
 struct PrefetchVersion {
   core::PolicyName policy;
   core::WeightVersion version;
@@ -114,8 +112,8 @@
 struct LoadVersion {
   core::PolicyName policy;
   core::WeightVersion version;
-  /// What happens to running streams: they go on across the swap (new tokens
-  /// carry the new version), finish first, or are cancelled.
+  /// Handling of running streams: continue across the swap (new tokens have the new version),
+  /// finish before the swap, or cancel.
   enum class RunningStreams { kContinue, kFinish, kCancel } running = RunningStreams::kContinue;
 };
 struct LoadAdapter {
@@ -125,39 +123,42 @@
 struct ChangeRole {
   EngineRole role = EngineRole::kMixed;
 };
+/// Command to an engine. It is sent with an epoch; the engine rejects an epoch below the highest
+/// one it has received.
 using EngineOrder = std::variant<PrefetchVersion, LoadVersion, LoadAdapter, ChangeRole>;
 
 class ModelEngine {
  public:
   virtual ~ModelEngine() = default;
-  /// Starts a generation. kUnavailable/kRateLimited/kOverloaded: not started.
-  /// kOutcomeUnknown: it may be running under its stream id.
+  /// Starts a generation.
+  /// \return its stream; kUnavailable, kRateLimited or kOverloaded if it was not started,
+  /// kOutcomeUnknown if it may be running under its stream id.
   virtual boost::asio::awaitable<core::Result<std::unique_ptr<TokenStream>>> generate(
       GenerationRequest request, core::MonotonicTime deadline) = 0;
-  /// Reads a known stream on from token \p offset. kNotFound: the engine has
-  /// none of that id.
+  /// Continues to read a stream from token \p offset.
+  /// \return the stream; kNotFound if the engine has no stream with this id.
   virtual boost::asio::awaitable<core::Result<std::unique_ptr<TokenStream>>> resume(
       core::StreamId stream, std::uint64_t offset, core::MonotonicTime deadline) = 0;
-  /// Stops a stream and frees its cache. Success also when there is none.
+  /// Stops a stream and frees its cache. Succeeds also if the stream does not exist.
   virtual boost::asio::awaitable<core::Result<void>> cancel_stream(core::StreamId stream) = 0;
   virtual boost::asio::awaitable<core::Result<void>> set_priority(core::StreamId stream,
                                                                   std::int32_t priority) = 0;
   /// \return streams whose id starts with \p prefix.
   virtual boost::asio::awaitable<core::Result<std::vector<StreamStatus>>> list_streams(
       std::string prefix) = 0;
-  /// Stops the stream here and hands its cache over under a handle.
+  /// Stops the stream on this engine and exports its KV cache.
   virtual boost::asio::awaitable<core::Result<KvExport>> export_kv(core::StreamId stream) = 0;
-  /// Continues a stream exported by the engine at \p source under its id.
+  /// Continues, under the same id, a stream that the engine at \p source exported.
   virtual boost::asio::awaitable<core::Result<std::unique_ptr<TokenStream>>> import_kv(
       KvExport exported, core::Address source, core::MonotonicTime deadline) = 0;
   virtual boost::asio::awaitable<core::Result<EngineReport>> report() = 0;
   virtual boost::asio::awaitable<core::Result<CacheEvents>> cache_events(std::uint64_t after) = 0;
-  /// \return kFenced when the engine has seen a higher epoch.
+  /// \return kFenced if the engine has received a higher epoch.
   virtual boost::asio::awaitable<core::Result<void>> order(EngineOrder order,
                                                            core::Epoch epoch) = 0;
 };
 
-/// Gives out one client per engine address.
+/// Returns one client per engine address.
 class ModelEngineFactory {
  public:
   virtual ~ModelEngineFactory() = default;
--- a/src/ports/object_store.hpp
+++ b/src/ports/object_store.hpp
@@ -12,9 +12,9 @@
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
-  /// Writes the whole object; writing the same name again replaces it.
+  /// Writes an object; replaces an existing object of the same name.
   virtual boost::asio::awaitable<core::Result<void>> put(std::string name, std::string content) = 0;
-  /// \return the content; kNotFound, kUnavailable or kRateLimited.
+  /// \return the object's content; kNotFound, kUnavailable or kRateLimited on failure.
   virtual boost::asio::awaitable<core::Result<std::string>> get(std::string name) = 0;
 };
 
--- a/src/ports/platform_duties.hpp
+++ b/src/ports/platform_duties.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Port to the platform's interface for duties that one process does for all: reports of
-/// usage and orders of replicas. A client belongs to one thread.
+/// Port to the platform's interface for tasks that only the coordinator performs: usage reports and
+/// replica orders. Clients are not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,37 +14,37 @@
 
 namespace stoneport::ports {
 
-/// Who calls. Of two holders the later one has the higher fence.
+/// Identity of the calling coordinator. A later term has a higher fencing token.
 struct DutyHolder {
   std::string name;
   core::Epoch fence;
 };
 
-/// Requests that began to run, by tenant.
+/// Number of requests that started to run, by tenant.
 using TenantCounts = std::map<core::TenantName, std::uint64_t>;
 
 struct UsageReport {
-  std::uint64_t window = 0;  ///< counted from the start of 1970, in lengths of a window
+  std::uint64_t window = 0;  ///< number of the time window, counted from the Unix epoch
   TenantCounts counts;
 };
 
-/// How many replicas of one kind a service is to have in a zone.
+/// Desired number of replicas of one kind (spot or on-demand) of a service in a zone.
 struct ReplicaOrder {
   core::ServiceName service;
   core::ZoneName zone;
   std::uint32_t count = 0;
-  bool spot = false;  ///< cheaper ones, which the platform may take away
+  bool spot = false;  ///< cheaper replicas that the platform may reclaim
 };
 
 class DutyClient {
  public:
   virtual ~DutyClient() = default;
-  /// \return kRateLimited or kUnavailable when the report surely was not taken;
-  /// kOutcomeUnknown when it may have been; kInvalidArgument when it never will be.
+  /// \return kRateLimited or kUnavailable if the report was certainly not accepted; kOutcomeUnknown
+  /// if it may have been; kInvalidArgument if it can never be accepted.
   virtual boost::asio::awaitable<core::Result<void>> report_usage(DutyHolder holder,
                                                                   UsageReport report,
                                                                   core::Duration timeout) = 0;
-  /// \return kConflict where none are to be had there now; otherwise as report_usage().
+  /// \return kConflict if the zone currently has no capacity; otherwise as report_usage().
   virtual boost::asio::awaitable<core::Result<void>> order_replicas(DutyHolder holder,
                                                                     ReplicaOrder order,
                                                                     core::Duration timeout) = 0;
--- a/src/ports/record_store.hpp
+++ b/src/ports/record_store.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// Port to the platform's store of partitioned records: conditional transactions
-/// within one partition, ordered reads and a feed of changes. One client belongs
-/// to one thread.
+/// Port to the platform's store of partitioned records: conditional transactions within one
+/// partition, ordered reads and a change feed. Clients are not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -17,7 +16,7 @@
 
 namespace stoneport::ports {
 
-/// Time on the store's steady clock, which every process of the system shares.
+/// Time of the store's monotonic clock, which is common to all processes.
 using StoreTime = std::chrono::milliseconds;
 
 struct Record {
@@ -25,84 +24,85 @@
   std::string partition;
   std::string key;
   std::string value;        ///< arbitrary bytes
-  core::Revision revision;  ///< store-wide, grows with every transaction
-  bool removed = false;     ///< only in a feed of changes
+  core::Revision revision;  ///< store-wide, incremented by every transaction
+  bool removed = false;     ///< set only in change feeds
 };
 
-/// Holds when the record's revision is exactly this one; zero means "no such record".
+/// Condition that the record has exactly this revision; zero means that it does not exist.
 struct RecordCondition {
   std::string table;
   std::string key;
   core::Revision revision;
 };
 
-/// No value removes the record.
+/// Write of a record; nullopt removes it.
 struct RecordWrite {
   std::string table;
   std::string key;
   std::optional<std::string> value;
 };
 
-/// All writes take effect, or none; every record lies in \p partition.
+/// Atomic set of conditional writes; all records are in one partition.
 struct RecordTransaction {
   std::string partition;
   std::vector<RecordCondition> conditions;
   std::vector<RecordWrite> writes;
 };
 
-/// Records of one partition with first_key <= key < end_key; empty means unbounded.
+/// Range of records of one partition with first_key <= key < end_key; an empty key means no bound.
 struct RecordRange {
   std::string table;
   std::string partition;
   std::string first_key = {};
   std::string end_key = {};
-  std::size_t most_rows = 0;  ///< of one page; zero for as many as the store gives
+  std::size_t most_rows = 0;  ///< maximum rows per page; zero for the limit of the store
 };
 
-/// \return the first key behind \p key. Keys hold no blank and no control sign.
+/// \return the smallest key greater than \p key, given that keys contain no spaces or control
+/// characters.
 inline std::string key_after(std::string key) {
   key += ' ';
   return key;
 }
 
 struct RecordPage {
-  std::vector<Record> records;  ///< in order of key, or of revision in a feed
-  bool more = false;            ///< the range, or the feed, holds further records
+  std::vector<Record> records;  ///< ordered by key, in a change feed by revision
+  bool more = false;            ///< whether further records follow
   core::Revision revision;      ///< the store's newest revision at the time of the answer
-  std::optional<StoreTime> answered_at = std::nullopt;  ///< by the store's clock, if it said so
+  std::optional<StoreTime> answered_at = std::nullopt;  ///< the store's clock, if reported
 };
 
 struct RecordStoreLimits {
   std::size_t record_bytes = 65536;
   std::size_t transaction_entries = 100;
   std::size_t transaction_bytes = 1'000'000;
-  double reads_per_second = 0;  ///< of all processes together; zero where there is no limit
+  double reads_per_second = 0;  ///< total of all processes; zero for no limit
 };
 
 class RecordStore {
  public:
   virtual ~RecordStore() = default;
-  /// \return the new revision; kConflict when a condition did not hold;
-  /// kUnavailable or kRateLimited when it surely did not take effect;
-  /// kOutcomeUnknown when it may have, or may still do so seconds later.
+  /// \return the new revision; kConflict if a condition was not met; kUnavailable or kRateLimited
+  /// if the transaction certainly had no effect; kOutcomeUnknown if it may have taken effect or may
+  /// still do so seconds later.
   virtual boost::asio::awaitable<core::Result<core::Revision>> commit(RecordTransaction transaction,
                                                                       core::Duration timeout) = 0;
-  /// \return the records as of one moment, possibly fewer than the range holds.
+  /// \return a consistent snapshot of the first records of the range, possibly not all of them.
   virtual boost::asio::awaitable<core::Result<RecordPage>> read(RecordRange range,
                                                                 core::Duration timeout) = 0;
   /// Waits up to \p wait for changes of \p table after revision \p after.
-  /// \return kNotFound when the store no longer has that history.
+  /// \return the changes, possibly none; kNotFound if the store no longer has that history.
   virtual boost::asio::awaitable<core::Result<RecordPage>> changes(std::string table,
                                                                    core::Revision after,
                                                                    core::Duration wait) = 0;
-  /// \return the store's time now, by its last answer; nothing before the first.
+  /// \return the current store time, extrapolated from the last answer; nullopt before the first.
   virtual std::optional<StoreTime> now() const = 0;
-  /// \return when the store last answered any call; the client's start before that.
+  /// \return the time of the store's last answer to any call; initially the client's start time.
   virtual core::MonotonicTime last_answer() const = 0;
-  /// \return when the store last served any call; an answer that refuses one to this process
-  /// serves nothing. The client's start before that.
+  /// \return the time of the last call that the store served, not counting calls that it refused;
+  /// initially the client's start time.
   virtual core::MonotonicTime last_served() const = 0;
-  /// \return the newest revision that any answer has named.
+  /// \return the newest revision contained in any answer.
   virtual core::Revision newest() const = 0;
   virtual RecordStoreLimits limits() const = 0;
 };
--- a/src/ports/replica_client.hpp
+++ b/src/ports/replica_client.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Port to replicas of services and models: whole calls, token streams, reports
-/// and orders. One client belongs to one thread.
+/// Port to replicas of services and models: unary calls, token streams, reports and weight orders.
+/// Clients are not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -17,7 +17,7 @@
 
 namespace stoneport::ports {
 
-/// One life of one replica. A call reaches this one or none.
+/// Addresses one run of a replica. A call never reaches another replica at the same address.
 struct ReplicaTarget {
   core::ReplicaId id;
   core::Address address;
@@ -27,73 +27,74 @@
   std::string request_id;
   http::RequestHead head;  ///< as the client sent it, without connection fields and credentials
   std::string body;
-  core::Duration time_left{};  ///< the replica stops working after that
-  /// The client resumes a stream behind this event.
+  core::Duration time_left{};  ///< timeout after which the replica stops working on the call
+  /// Number of the last event that the client received, if it resumes a stream.
   std::optional<std::uint64_t> resume_after = std::nullopt;
-  /// Never a kept connection: it may turn out closed after the request was written.
+  /// Whether to open a new connection. A pooled one may turn out to be closed only after the
+  /// request was written.
   bool fresh_connection = false;
-  core::TenantName tenant = {};  ///< whose request it is; empty for nobody's
+  core::TenantName tenant = {};  ///< tenant of the request; empty if none
 };
 
-/// How a call without a usable answer ended.
+/// Kind of failure of a call without a usable answer.
 enum class CallFailureKind {
-  kNotRun,      ///< the replica said so, or the call never reached it
-  kGone,        ///< another replica has the address; not run
-  kMayHaveRun,  ///< cut, garbled, or no answer in time
+  kNotRun,      ///< the replica reported so, or the call never reached it
+  kGone,        ///< another replica now has the address; the call was not run
+  kMayHaveRun,  ///< the answer was truncated, malformed or timed out
 };
 struct CallFailure {
   CallFailureKind kind = CallFailureKind::kMayHaveRun;
   std::string reason;
   std::optional<core::Duration> retry_after = std::nullopt;
-  bool unreachable = false;  ///< no connection, or silence
-  /// A kept connection ended before an answer: it says nothing of the replica's health.
+  bool unreachable = false;  ///< no connection, or no answer in time
+  /// Whether a pooled connection was closed before an answer; no evidence of bad health.
   bool stale_connection = false;
 };
 
 [[noreturn]] inline void throw_exception_from_error(const CallFailure& failure,
                                                     const boost::source_location&) {
-  throw std::logic_error("value() taken from a failed call: " + failure.reason);
+  throw std::logic_error("value() called on a failed call: " + failure.reason);
 }
 template <class T>
 using CallResult = boost::system::result<T, CallFailure>;
 
-/// A whole answer of a replica that ran the request.
+/// Complete answer of a replica that ran the request.
 struct ReplicaAnswer {
   http::Response response;
-  std::string signature;  ///< the replica's proof that it ran the request
+  std::string signature;  ///< proof by the replica that it ran the request
 };
 
 /// One event of a token stream.
 struct TokenEvent {
-  std::uint64_t number = 0;  ///< rises by one within a text
+  std::uint64_t number = 0;  ///< consecutive within a stream
   std::string data;
-  std::string wire_text;                       ///< the event as it came, blank line included
-  std::optional<core::WeightVersion> version;  ///< set where the version changed
+  std::string wire_text;                       ///< the event as received, with its blank line
+  std::optional<core::WeightVersion> version;  ///< set if the version changed with this event
 };
 
-/// A stream whose head has arrived. Destroying it closes its connection unless
-/// the end was read.
+/// Token stream whose response head has been received. Destroying it closes the connection unless
+/// the end of the stream was read.
 class TokenStream {
  public:
   virtual ~TokenStream() = default;
   virtual const http::ResponseHead& head() const = 0;
   virtual std::optional<core::WeightVersion> version() const = 0;
-  /// \return the next event, or nothing at the end of a whole stream.
+  /// \return the next event; nullopt at the regular end of the stream.
   virtual boost::asio::awaitable<core::Result<std::optional<TokenEvent>>> next() = 0;
-  /// \return whether the framing tells a whole stream from one that was cut.
+  /// \return whether the framing distinguishes a complete stream from a truncated one.
   virtual bool can_detect_truncation() const = 0;
   virtual void cancel() = 0;
 };
 
 struct StreamAnswer {
-  std::unique_ptr<TokenStream> stream;     ///< set for a 2xx
-  std::optional<ReplicaAnswer> rejection;  ///< any other answer of a replica that ran it
+  std::unique_ptr<TokenStream> stream;     ///< set for a 2xx answer
+  std::optional<ReplicaAnswer> rejection;  ///< any other answer of a replica that ran the request
 };
 
 struct ReplicaReport {
   std::map<core::ModelName, core::WeightVersion> versions;
-  bool busy = false;              ///< an order is under way
-  std::uint64_t order_count = 0;  ///< orders taken in this life
+  bool busy = false;              ///< whether an order is in progress
+  std::uint64_t order_count = 0;  ///< orders accepted since the replica started
 };
 
 struct WeightOrder {
@@ -105,10 +106,10 @@
 };
 enum class OrderOutcome {
   kAccepted,
-  kAlreadyLoaded,  ///< the replica has that version already
-  kConflict,       ///< another order is under way, or the count differs
-  kRefused,        ///< fenced, misdirected or invalid
-  kNoAnswer,       ///< may be carried out later
+  kAlreadyLoaded,  ///< the replica already has that version
+  kConflict,       ///< another order is in progress, or the order count differs
+  kRefused,        ///< fenced, sent to the wrong replica or invalid
+  kNoAnswer,       ///< outcome unknown; the order may be executed later
 };
 
 class ReplicaClient {
@@ -120,12 +121,12 @@
                                                                        ReplicaCall call) = 0;
   virtual boost::asio::awaitable<core::Result<ReplicaReport>> report(ReplicaTarget target) = 0;
   virtual boost::asio::awaitable<OrderOutcome> order(ReplicaTarget target, WeightOrder order) = 0;
-  /// \return whether nothing listens at the replica's address: it has ended. False when that
-  /// cannot be told, as behind a cut.
+  /// \return whether connections to the replica's address are refused, which means that the replica
+  /// has ended. False if this is unknown, for example in a network partition.
   virtual boost::asio::awaitable<bool> refuses_connections(ReplicaTarget target) = 0;
-  /// Closes kept connections to a replica that is leaving or gone.
+  /// Closes pooled connections to a replica that is leaving or has ended.
   virtual void forget(const core::Address& address) = 0;
-  /// \return whether a call to \p address needs no new connection.
+  /// \return whether the pool has a connection to \p address.
   virtual bool keeps_connection(const core::Address& address) const = 0;
 };
 
--- a/src/ports/scoring_service.hpp
+++ b/src/ports/scoring_service.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Port to a scoring service, which rates one finished sample. Scoring the same
-/// sample twice gives the same score, so a call may be repeated.
+/// Port to a scoring service, which scores a finished sample. Scoring is deterministic, so calls
+/// may be repeated.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
--- a/src/ports/table_service.hpp
+++ b/src/ports/table_service.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Port to the platform's transactional table service. Implementations live on
-/// the control thread. Every effect is conditional and carries a write id, so
-/// that a lost answer can be resolved by reading back.
+/// Port to the platform's transactional table service. Use implementations on the control thread
+/// only. Every transaction is conditional and has a write id, so that the outcome can be determined
+/// after a lost answer.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -23,49 +23,49 @@
 struct Row {
   RowKey key;
   std::string value;         ///< JSON text
-  core::Revision revision;   ///< store-wide, grows with every transaction
-  core::WriteId written_by;  ///< the transaction that wrote this row
+  core::Revision revision;   ///< store-wide, incremented by every transaction
+  core::WriteId written_by;  ///< write id of the last transaction that wrote the row
 };
 
-/// Holds when the row's revision is exactly this one; zero means "no such row".
+/// Condition that the row has exactly this revision; zero means that it does not exist.
 struct RowCondition {
   RowKey key;
   core::Revision revision;
 };
 
-/// An empty value deletes the row.
+/// Write of a row; nullopt deletes it.
 struct RowWrite {
   RowKey key;
   std::optional<std::string> value;
 };
 
-/// All writes take effect, or none.
+/// Atomic set of conditional writes.
 struct Transaction {
   core::WriteId write_id;
   std::vector<RowCondition> conditions;
   std::vector<RowWrite> writes;
 };
 
-/// More urgent calls take the client's token budget first.
+/// Priority in the client's token budget, most urgent first.
 enum class TablePriority { kOwnership, kInteractive, kBackground };
 
 class TableService {
  public:
   virtual ~TableService() = default;
-  /// \return the row, or nothing when there is none; kUnavailable, kRateLimited
-  /// or kDeadlineExceeded otherwise.
+  /// \return the row, or nullopt if it does not exist; kUnavailable, kRateLimited or
+  /// kDeadlineExceeded on failure.
   virtual boost::asio::awaitable<core::Result<std::optional<Row>>> read(RowKey key,
                                                                         TablePriority priority) = 0;
-  /// \return rows of one table whose key starts with \p prefix and whose
-  /// revision is above \p after, in order of key.
+  /// \return the rows of a table whose key starts with \p prefix and whose revision is above
+  /// \p after, ordered by key.
   virtual boost::asio::awaitable<core::Result<std::vector<Row>>> scan(std::string table,
                                                                       std::string prefix,
                                                                       core::Revision after,
                                                                       TablePriority priority) = 0;
   /// Commits \p transaction at most once.
-  /// \return the new revision; kConflict when a condition did not hold;
-  /// kUnavailable or kRateLimited when it surely did not take effect;
-  /// kOutcomeUnknown when the answer was lost and reading back did not settle it.
+  /// \return the new revision; kConflict if a condition was not met; kUnavailable or kRateLimited
+  /// if the transaction certainly had no effect; kOutcomeUnknown if the answer was lost and the
+  /// outcome could not be determined.
   virtual boost::asio::awaitable<core::Result<core::Revision>> commit(Transaction transaction,
                                                                       TablePriority priority) = 0;
 };
--- a/src/ports/weight_store.hpp
+++ b/src/ports/weight_store.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Port to the weight store. Engines read weights from it themselves; stoneport
-/// asks only what is there and how fast it may be read, to plan prefetches.
+/// Port to the weight store. Engines read weights from it directly; stoneport only queries the
+/// available versions and the read bandwidth, to plan prefetches.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -20,7 +20,7 @@
 
 struct WeightStoreStatus {
   std::vector<WeightSet> sets;
-  std::uint64_t bytes_per_second = 0;  ///< limit over all readers
+  std::uint64_t bytes_per_second = 0;  ///< bandwidth limit of all readers together
 };
 
 class WeightStore {
--- a/src/ports/write_id_source.hpp
+++ b/src/ports/write_id_source.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Makes write ids that no other process life and no other source uses.
+/// Generates write ids that are unique across process runs and sources.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 class WriteIdSource {
  public:
-  /// \param purpose tells sources of one process apart, such as "lease"
+  /// \param purpose name of this source, unique within the process, such as "lease"
   /// \param incarnation differs from that of every earlier process of \p node
   WriteIdSource(std::string purpose, const core::NodeId& node, core::Incarnation incarnation)
       : prefix_(std::move(purpose) + "/" + node.value() + "/" +
--- a/src/runtime/cancellable.hpp
+++ b/src/runtime/cancellable.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Runs a task that its starter may cut off. The task's local objects are
-/// destroyed then, which closes the connections that they own.
+/// Runs a task that can be cancelled. Cancellation destroys the task's local objects, which closes
+/// the connections that they own.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,8 +14,8 @@
 
 namespace stoneport::runtime {
 
-/// \param signal emits terminal cancellation to cut the task off; outlives the call
-/// \return the task's value, or nothing when it was cut off.
+/// \param signal emit terminal cancellation on it to cancel the task; must outlive the call
+/// \return the task's value, or nullopt if it was cancelled.
 template <class Value>
 boost::asio::awaitable<std::optional<Value>> run_cancellable(
     boost::asio::awaitable<Value> task, boost::asio::cancellation_signal& signal) {
@@ -26,14 +26,15 @@
         boost::asio::bind_cancellation_slot(signal.slot(), boost::asio::use_awaitable));
     co_return std::optional<Value>(std::move(value));
   } catch (const boost::system::system_error&) {
-    // Asio ends a cancelled coroutine by this exception.
+    // Asio ends a cancelled coroutine with this exception.
   }
   co_return std::nullopt;
 }
 
-/// Ends a coroutine that was cut off while it waited for something that does not throw then.
+/// Ends the calling coroutine if it was cancelled. Needed after an operation that does not throw on
+/// cancellation.
 inline boost::asio::awaitable<void> cancellation_point() {
-  co_return;  // Asio looks at each co_await whether the caller was cancelled
+  co_return;  // at each co_await Asio checks whether the caller was cancelled
 }
 
 }  // namespace stoneport::runtime
--- a/src/runtime/event_loop_thread.hpp
+++ b/src/runtime/event_loop_thread.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A thread that runs one io_context of its own.
+/// Thread that runs its own io_context.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -12,8 +12,8 @@
 
 namespace stoneport::runtime {
 
-/// One thread, one io_context. The context exists from construction, so that
-/// components can be built on it before run() starts the thread.
+/// Owns an io_context and the thread that runs it. The context exists from construction, so that
+/// components can be created on it before run() starts the thread.
 class EventLoopThread {
  public:
   explicit EventLoopThread(std::string name);
@@ -23,7 +23,7 @@
 
   boost::asio::any_io_executor executor() { return context_.get_executor(); }
   void run();
-  /// Stops the loop and joins the thread; safe to call twice.
+  /// Stops the loop and joins the thread. May be called more than once.
   void stop();
 
  private:
--- a/src/runtime/snapshot.hpp
+++ b/src/runtime/snapshot.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// Snapshots that the control thread publishes and traffic threads read without
-/// waiting. Each traffic thread holds a view of its own; publishing posts the
-/// new pointer to it, so neither side takes a lock.
+/// Immutable snapshots that the control thread publishes to traffic threads without locks: each
+/// traffic thread has its own view, and publishing posts the new pointer to that thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -11,13 +10,13 @@
 
 namespace stoneport::runtime {
 
-/// One thread's view of the newest snapshot it has been handed. Read it only on
-/// the thread of the executor it was subscribed with.
+/// A thread's view of the latest snapshot delivered to it. Read it only on the thread of the
+/// executor passed to subscribe().
 template <class Value>
 class SnapshotView {
  public:
   explicit SnapshotView(std::shared_ptr<const Value> initial) : current_(std::move(initial)) {}
-  /// \return never null; hold the copy for as long as one decision takes.
+  /// \return the snapshot, never null. Use the same copy for the whole of a decision.
   std::shared_ptr<const Value> get() const { return current_; }
 
  private:
@@ -26,7 +25,7 @@
   std::shared_ptr<const Value> current_;
 };
 
-/// Owned by the control thread. Subscribe before the traffic threads start.
+/// Publishes snapshots. Use it on the control thread; subscribe before the traffic threads start.
 template <class Value>
 class SnapshotPublisher {
  public:
--- a/src/runtime/tasks.cpp
+++ b/src/runtime/tasks.cpp
@@ -24,7 +24,7 @@
     try {
       std::rethrow_exception(failure);
     } catch (const std::exception& exception) {
-      spdlog::critical("broken invariant: task {} threw: {}", name, exception.what());
+      spdlog::critical("uncaught exception in task {}: {}", name, exception.what());
     }
     std::abort();
   };
--- a/src/runtime/tasks.hpp
+++ b/src/runtime/tasks.hpp
@@ -1,6 +1,5 @@
 /// \file
-/// Small helpers for coroutines: sleeping, starting, and moving to another
-/// thread's executor and back.
+/// Coroutine helpers: sleep, start a task, and run a task on another thread's executor.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,16 +12,16 @@
 
 namespace stoneport::runtime {
 
-/// Waits for \p length; returns early only when the coroutine is cancelled.
+/// Waits for \p length; returns early only if the coroutine is cancelled.
 boost::asio::awaitable<void> sleep_for(core::Duration length);
 
-/// Starts \p task on \p executor. An exception that leaves it is a broken
-/// invariant: it is logged under \p name and stops the process.
+/// Starts \p task on \p executor. An uncaught exception is a bug: it is logged with \p name and
+/// aborts the process.
 void start(boost::asio::any_io_executor executor, std::string name,
            boost::asio::awaitable<void> task);
 
-/// Runs \p task on \p executor and resumes the caller on its own executor with
-/// the value. For calls from traffic threads into the control thread.
+/// Runs \p task on \p executor and resumes the caller on its own executor with the result. Used for
+/// calls from traffic threads to the control thread.
 template <class Value>
 boost::asio::awaitable<Value> run_on(boost::asio::any_io_executor executor,
                                      boost::asio::awaitable<Value> task) {
