--- a/tests/contract/malformed_answers_test.cpp
+++ b/tests/contract/malformed_answers_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Answers that no service of the platform should give, to every read of every
-/// port: a typed error, whether they come as an answer or as a refusal.
+/// Malformed answers to every call of every port that reads one: each must give a typed error, for
+/// success responses and for error responses.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "contract/platform_fixture.hpp"
@@ -68,9 +68,9 @@
   };
 }
 
-/// \return whether \p end is that of an answer beyond the limit, of which nothing
-/// is read, or of a write whose answer says nothing about its outcome.
-bool unread(const PortCall& call, const core::Error& end) {
+/// \return whether \p end is the error of an answer that could not be read: one beyond the size
+/// limit or, for an effect, any that leaves its outcome unknown.
+bool is_unreadable(const PortCall& call, const core::Error& end) {
   const ErrorCode code =
       call.kind == CallKind::kEffect ? ErrorCode::kOutcomeUnknown : ErrorCode::kTooLarge;
   return end.code == code;
@@ -89,8 +89,9 @@
       for (const tests::MalformedDocument& document : tests::malformed_documents()) {
         const CallEnd end = call_scripted(call, {200, document.bytes, ""});
         const std::string name = std::string(call.name) + ", " + document.fault;
-        CPPUNIT_ASSERT_MESSAGE(name + ": " + describe(end),
-                               end && (end->code == ErrorCode::kProtocol || unread(call, *end)));
+        CPPUNIT_ASSERT_MESSAGE(
+            name + ": " + describe(end),
+            end && (end->code == ErrorCode::kProtocol || is_unreadable(call, *end)));
       }
     }
   }
@@ -100,8 +101,9 @@
       for (const tests::MalformedDocument& document : tests::malformed_documents()) {
         const CallEnd end = call_scripted(call, {429, document.bytes, "1e999"});
         const std::string name = std::string(call.name) + ", " + document.fault;
-        CPPUNIT_ASSERT_MESSAGE(name + ": " + describe(end),
-                               end && (end->code == ErrorCode::kRateLimited || unread(call, *end)));
+        CPPUNIT_ASSERT_MESSAGE(
+            name + ": " + describe(end),
+            end && (end->code == ErrorCode::kRateLimited || is_unreadable(call, *end)));
         CPPUNIT_ASSERT_MESSAGE(name, !end->retry_after);
       }
     }
--- a/tests/contract/platform_fixture.hpp
+++ b/tests/contract/platform_fixture.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Scaffolding of the ports' contract suites: a scripted server that answers in
-/// every wrong way, and the faults that each call of each port must survive.
+/// Fixtures of the ports' contract suites: a scripted server that gives faulty answers, and checks
+/// of the faults that each call of each port must handle.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,10 +18,10 @@
 using core::ErrorCode;
 using ports::CallKind;
 
-/// How a call through a port ended: nothing, or its error.
+/// Result of a call through a port: its error, or nullopt for success.
 using CallEnd = std::optional<core::Error>;
 
-/// \return how \p task ended, without its value.
+/// \return the result of \p task without its value.
 template <class Value>
 asio::awaitable<CallEnd> end_of(asio::awaitable<core::Result<Value>> task) {
   const core::Result<Value> result = co_await std::move(task);
@@ -31,7 +31,7 @@
   co_return result.error();
 }
 
-/// One call of one port.
+/// A call of a port, with the name used in messages.
 struct PortCall {
   const char* name;
   CallKind kind;
@@ -45,7 +45,7 @@
   return settings;
 }
 
-/// A client on the event loop of the servers it talks to.
+/// Client that runs on the same event loop as the servers it calls.
 struct ClientFixture {
   explicit ClientFixture(asio::io_context& context)
       : client(context.get_executor(), "test", metrics) {}
@@ -58,7 +58,7 @@
   http::Client client;
 };
 
-/// One answer of the scripted server.
+/// Answer of the scripted server.
 struct ScriptedAnswer {
   unsigned status = 200;
   std::string body;
@@ -66,7 +66,7 @@
   enum class Shape { kWhole, kNone, kCut, kNever } shape = Shape::kWhole;
 };
 
-/// Answers every request with \p answer.
+/// Sends \p answer, whatever the request.
 inline asio::awaitable<void> answer_with(ScriptedAnswer answer, http::BodySource& body,
                                          http::ResponseWriter& response) {
   co_await http::read_whole(body, 1 << 20);
@@ -95,7 +95,7 @@
   }
 }
 
-/// Makes \p call once against a server that gives \p answer.
+/// Makes \p call once against a server that sends \p answer.
 inline CallEnd call_scripted(const PortCall& call, const ScriptedAnswer& answer,
                              core::Duration timeout = http_test::kPatience) {
   http_test::ServerFixture server(
@@ -115,7 +115,7 @@
   CPPUNIT_ASSERT_MESSAGE(name + ": " + describe(end), end && end->code == expected);
 }
 
-/// The faults that look the same through every port.
+/// Checks the faults that give the same error through every port.
 inline void check_common_faults(const std::vector<PortCall>& calls) {
   using Shape = ScriptedAnswer::Shape;
   struct Case {
@@ -182,7 +182,7 @@
   }
 }
 
-/// \return an address of this machine at which nobody listens.
+/// \return a local address without a listener.
 inline core::Address closed_address() {
   http_test::ServerFixture server;
   return server.server.local_address();
@@ -197,7 +197,7 @@
   }
 }
 
-/// Bodies of a 200 answer, each with the error that it must end in.
+/// Faulty body of a 200 answer.
 struct BadAnswer {
   std::string body;
   ScriptedAnswer::Shape shape = ScriptedAnswer::Shape::kWhole;
@@ -211,7 +211,7 @@
   }
 }
 
-/// \return a body beyond the answer limit of test_settings().
+/// \return a body larger than the answer limit of test_settings().
 inline std::string oversized_body() {
   return std::string(65 * 1024, ' ');
 }
--- a/tests/contract/platform_model_engine_contract.cpp
+++ b/tests/contract/platform_model_engine_contract.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Contract of the model engine's port: HttpModelEngine against faulty answers and
-/// streams, and against the emulator's engine.
+/// Contract of the model engine port: HttpModelEngine against faulty answers and streams, and
+/// against the emulator's engine.
 #include "emulator/engine_listener.hpp"
 #include "platform_fixture.hpp"
 #include "ports/http_model_engine.hpp"
@@ -23,7 +23,7 @@
   return request;
 }
 
-/// All that was read of a stream, and how it ended.
+/// Everything that was read from a stream, and its end or error.
 struct ReadStream {
   std::string text;
   std::uint64_t tokens = 0;
@@ -71,7 +71,7 @@
   co_return co_await read_stream(std::move(opened));
 }
 
-/// \return a call of the engine's port; opening a stream is the call, not reading it.
+/// \return a call of the engine port; for a stream the call opens it without reading it.
 template <class Function>
 PortCall engine_call(const char* name, CallKind kind, Function function) {
   return {name, kind, [function](HttpEndpoint endpoint) -> asio::awaitable<CallEnd> {
@@ -187,12 +187,12 @@
   CPPUNIT_TEST(bad_streams);
   CPPUNIT_TEST(refusals_are_typed);
   CPPUNIT_TEST(stream_is_generated_and_resumed);
-  CPPUNIT_TEST(cut_stream_is_never_whole);
-  CPPUNIT_TEST(chunk_without_version_says_so);
-  CPPUNIT_TEST(stream_moves_between_engines);
+  CPPUNIT_TEST(truncated_stream_is_never_complete);
+  CPPUNIT_TEST(chunk_without_version_is_reported);
+  CPPUNIT_TEST(stream_is_migrated_between_engines);
   CPPUNIT_TEST(owner_of_an_older_epoch_is_fenced);
   CPPUNIT_TEST(report_and_cache_events_are_read);
-  CPPUNIT_TEST(one_client_an_address);
+  CPPUNIT_TEST(one_client_per_address);
   CPPUNIT_TEST_SUITE_END();
 
   void common_faults() {
@@ -316,7 +316,7 @@
     CPPUNIT_ASSERT(fixture.run(fixture.engine(0)->cancel_stream(core::StreamId("none"))));
   }
 
-  void cut_stream_is_never_whole() {
+  void truncated_stream_is_never_complete() {
     EngineFixture fixture;
     for (const std::uint64_t bytes : {0, 1, 100}) {
       fixture.engines[0]->faults().cut_bodies = 1;
@@ -329,7 +329,7 @@
     }
   }
 
-  void chunk_without_version_says_so() {
+  void chunk_without_version_is_reported() {
     EngineFixture fixture;
     emulator::EngineFaults faults;
     faults.chunks_without_version = 1;
@@ -338,7 +338,7 @@
     CPPUNIT_ASSERT(read.end && read.tokens_without_version > 0);
   }
 
-  void stream_moves_between_engines() {
+  void stream_is_migrated_between_engines() {
     EngineFixture fixture;
     fixture.freeze(true);
     auto opened = fixture.run(fixture.engine(0)->generate(generation(), http_test::soon()));
@@ -393,7 +393,7 @@
     CPPUNIT_ASSERT(events->events.front().stored && events->events.front().prefix_hash != 0);
   }
 
-  void one_client_an_address() {
+  void one_client_per_address() {
     EngineFixture fixture;
     const auto first = fixture.engine(0);
     CPPUNIT_ASSERT(first == fixture.engine(0) && first != fixture.engine(1));
--- a/tests/contract/platform_stores_contract.cpp
+++ b/tests/contract/platform_stores_contract.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Contracts of the object store's, weight store's, machine list's and scoring
-/// service's ports: their clients against faulty answers and the emulator.
+/// Contracts of the object store, weight store, machine list and scoring service ports: their
+/// clients against faulty answers and against the emulator.
 #include "emulator/emulator.hpp"
 #include "platform_fixture.hpp"
 #include "ports/http_machine_list.hpp"
@@ -69,7 +69,7 @@
   }
   HttpEndpoint endpoint() { return client.endpoint(listener.address()); }
 
-  core::Metrics metrics;  // what is left on the context counts its end
+  core::Metrics metrics;  // declared first: tasks destroyed with the context still use it
   asio::io_context context;
   Listener listener;
   ClientFixture client;
@@ -78,7 +78,7 @@
 class ObjectStoreContract : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ObjectStoreContract);
   CPPUNIT_TEST(faults);
-  CPPUNIT_TEST(objects_come_back_whole);
+  CPPUNIT_TEST(objects_survive_a_round_trip);
   CPPUNIT_TEST_SUITE_END();
 
   void faults() {
@@ -89,7 +89,7 @@
     check_end("404", ErrorCode::kNotFound, call_scripted(kGet, {404, "", ""}));
   }
 
-  void objects_come_back_whole() {
+  void objects_survive_a_round_trip() {
     StoreFixture<emulator::ObjectListener> fixture;
     ports::HttpObjectStore store(fixture.endpoint());
     for (const std::string& content :
--- a/tests/contract/platform_table_service_contract.cpp
+++ b/tests/contract/platform_table_service_contract.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Contract of the table service's port: HttpTableService against faulty answers,
-/// and, bare and guarded, against the emulator's table service.
+/// Contract of the table service port: HttpTableService against faulty answers and, with and
+/// without the guard, against the emulator's table service.
 #include "emulator/platform_services.hpp"
 #include "platform_fixture.hpp"
 #include "ports/guarded_table_service.hpp"
@@ -59,7 +59,7 @@
     return http_test::run(context, table.read(std::move(key), TablePriority::kInteractive));
   }
 
-  core::Metrics metrics;  // what is left on the context counts its end
+  core::Metrics metrics;  // declared first: tasks destroyed with the context still use it
   asio::io_context context;
   emulator::TableListener listener;
   ClientFixture client;
@@ -71,11 +71,11 @@
   CPPUNIT_TEST_SUITE(TableServiceContract);
   CPPUNIT_TEST(common_faults);
   CPPUNIT_TEST(bad_rows);
-  CPPUNIT_TEST(bad_revisions_leave_the_commit_open);
+  CPPUNIT_TEST(bad_revisions_leave_the_outcome_unknown);
   CPPUNIT_TEST(rows_and_conditions);
-  CPPUNIT_TEST(a_committed_write_id_answers_its_first_revision);
+  CPPUNIT_TEST(a_repeated_write_id_returns_its_first_revision);
   CPPUNIT_TEST(lost_answers_are_settled);
-  CPPUNIT_TEST(guard_waits_out_refusals);
+  CPPUNIT_TEST(guard_retries_refused_calls);
   CPPUNIT_TEST_SUITE_END();
 
   void common_faults() {
@@ -110,7 +110,7 @@
                        {R"({"rows":null})"}});
   }
 
-  void bad_revisions_leave_the_commit_open() {
+  void bad_revisions_leave_the_outcome_unknown() {
     check_bad_answers(kCommit, ErrorCode::kOutcomeUnknown,
                       {{""},
                        {"{}"},
@@ -140,7 +140,7 @@
     CPPUNIT_ASSERT(!*fixture.read(*fixture.bare, kKey));
   }
 
-  void a_committed_write_id_answers_its_first_revision() {
+  void a_repeated_write_id_returns_its_first_revision() {
     TableFixture fixture;
     const auto first = fixture.commit(*fixture.bare, write_if("w1", 0, "one"));
     CPPUNIT_ASSERT(first);
@@ -165,7 +165,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, fixture.listener.model().repeated_commits());
   }
 
-  void guard_waits_out_refusals() {
+  void guard_retries_refused_calls() {
     TableFixture fixture;
     fixture.listener.faults().refused_requests = 1;
     CPPUNIT_ASSERT(fixture.commit(*fixture.guarded, write_if("w1", 0, "one")));
--- a/tests/platform/load_page_test.cpp
+++ b/tests/platform/load_page_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A real process of the daemon on the platform's stand-in: what became of its requests is on the
-/// operators' page of load, which stoneportctl reads, and on no page that clients reach.
+/// Daemon process against a fake platform: the outcomes of its requests are on the operators' load
+/// page, which stoneportctl reads, and on no page that clients can reach.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "ctl/load_summary.hpp"
--- a/tests/platform/process_test.cpp
+++ b/tests/platform/process_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Real processes of the daemon on the platform's stand-in: requests, jobs, and
-/// what must hold when processes, replicas and the store fail.
+/// Daemon processes against a fake platform: requests, jobs, and the guarantees when processes,
+/// replicas and the store fail.
 #include <cppunit/extensions/HelperMacros.h>
 #include <signal.h>
 
@@ -18,18 +18,18 @@
 
 class PlatformProcessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformProcessTest);
-  CPPUNIT_TEST(requests_are_served_whole);
+  CPPUNIT_TEST(requests_get_complete_answers);
   CPPUNIT_TEST(unrepeatable_requests_run_once);
-  CPPUNIT_TEST(streams_are_whole_or_cut);
+  CPPUNIT_TEST(streams_are_complete_or_truncated);
   CPPUNIT_TEST(bad_input_gets_a_clear_answer);
-  CPPUNIT_TEST(configurations_come_into_force_and_never_go_back);
-  CPPUNIT_TEST(the_directory_names_those_who_are_ready);
+  CPPUNIT_TEST(configurations_apply_and_never_go_back);
+  CPPUNIT_TEST(the_directory_lists_ready_processes);
   CPPUNIT_TEST(a_job_is_the_same_at_every_process);
-  CPPUNIT_TEST(an_accepted_job_outlives_every_process);
+  CPPUNIT_TEST(an_accepted_job_survives_a_restart_of_all_processes);
   CPPUNIT_TEST(the_coordinator_is_replaced);
-  CPPUNIT_TEST(a_store_that_falls_silent_loses_nothing);
-  CPPUNIT_TEST(a_store_that_refuses_the_coordinator_alone);
-  CPPUNIT_TEST(a_process_that_the_store_refuses_answers_at_once);
+  CPPUNIT_TEST(a_store_outage_loses_nothing);
+  CPPUNIT_TEST(the_store_refuses_only_the_coordinator);
+  CPPUNIT_TEST(a_process_refused_by_the_store_answers_at_once);
   CPPUNIT_TEST(an_ended_job_runs_no_more);
   CPPUNIT_TEST(a_planned_stop_drops_nothing);
   CPPUNIT_TEST_SUITE_END();
@@ -42,7 +42,7 @@
     return runs;
   }
 
-  /// \return the results of \p job, each checked for being whole and there once.
+  /// \return the results of \p job, after checking that each is complete and present once.
   static nlohmann::json checked_results(PlatformStandIn& platform, std::size_t process,
                                         const std::string& job) {
     const HttpAnswer answer = platform.read(process, job, 0);
@@ -51,7 +51,7 @@
     std::set<std::string> ids;
     for (const nlohmann::json& result : results) {
       const std::string id = result["id"];
-      CPPUNIT_ASSERT_MESSAGE(id + " stands twice", ids.insert(id).second);
+      CPPUNIT_ASSERT_MESSAGE(id + " is listed twice", ids.insert(id).second);
       CPPUNIT_ASSERT_EQUAL(std::string("completed"), result["state"].get<std::string>());
       CPPUNIT_ASSERT_EQUAL(StandInReplica::whole_text(id), result["text"].get<std::string>());
       CPPUNIT_ASSERT_EQUAL(StandInReplica::signature("score-" + id),
@@ -60,7 +60,7 @@
     return results;
   }
 
-  void requests_are_served_whole() {
+  void requests_get_complete_answers() {
     PlatformStandIn platform;
     struct Case {
       std::string name;
@@ -96,10 +96,10 @@
       platform.replica("plain-0").faults.not_run = 2;
       platform.replica("plain-1").faults.not_run = 2;
     });
-    // Turned away is not run: another replica, or the same one again, may be tried.
+    // A request that a replica refuses has not run, so it may be retried on any replica.
     CPPUNIT_ASSERT_EQUAL(200u, platform.request(0, "POST", "/once/a", "once-1", "x").status);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runs_of(platform, "once-1"));
-    // Turned away everywhere, it is refused at once, with when to come back.
+    // If all replicas refuse, the request is rejected at once with a Retry-After.
     platform.on_loop([&] {
       platform.replica("plain-0").faults.not_run = 50;
       platform.replica("plain-1").faults.not_run = 50;
@@ -134,7 +134,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, runs_of(platform, "once-3"));
   }
 
-  void streams_are_whole_or_cut() {
+  void streams_are_complete_or_truncated() {
     PlatformStandIn platform;
     const auto expected = [](const std::string& id) {
       std::string text;
@@ -152,11 +152,11 @@
         platform.replica(id).faults.cut_after_events = 3;
       }
     });
-    // One that must not run twice ends cut; one that may be resumed goes on.
+    // A stream that must not run twice ends truncated; a resumable one is continued.
     const HttpAnswer cut = platform.request(0, "POST", "/stream/a", "stream-2", "x");
     CPPUNIT_ASSERT(!cut.failure.empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runs_of(platform, "stream-2"));
-    const std::string id = "s";  // a text that three replicas make in turn
+    const std::string id = "s";  // a text to which several replicas contribute in turn
     const std::uint64_t length = StandInReplica::text_length(id);
     platform.on_loop([&] {
       for (const std::string& replica : platform.replica_ids()) {
@@ -201,7 +201,7 @@
     CPPUNIT_ASSERT_EQUAL(404u, platform.request(0, "GET", "/-/items/good?id=none", "").status);
   }
 
-  void configurations_come_into_force_and_never_go_back() {
+  void configurations_apply_and_never_go_back() {
     PlatformStandIn platform;
     const nlohmann::json added = {{{"name", "new"},
                                    {"host", "users.example"},
@@ -225,12 +225,12 @@
                  [&] { return platform.request(process, "GET", "/only/a", "c1").status == 200; });
       CPPUNIT_ASSERT(std::chrono::steady_clock::now() - started < milliseconds(2000));
     }
-    platform.configure(3);  // an older one that comes late
+    platform.configure(3);  // an older configuration that arrives late
     std::this_thread::sleep_for(milliseconds(400));
     CPPUNIT_ASSERT_EQUAL(200u, platform.request(0, "GET", "/only/a", "c2").status);
   }
 
-  void the_directory_names_those_who_are_ready() {
+  void the_directory_lists_ready_processes() {
     PlatformStandIn platform;
     const auto named = [&](std::size_t asked) {
       const HttpAnswer answer = platform.http().get(
@@ -268,7 +268,7 @@
     }
   }
 
-  void an_accepted_job_outlives_every_process() {
+  void an_accepted_job_survives_a_restart_of_all_processes() {
     PlatformStandIn platform;
     for (int round = 0; round < 3; ++round) {
       const std::string job = "job" + std::to_string(round);
@@ -289,8 +289,8 @@
   void the_coordinator_is_replaced() {
     struct Case {
       std::string name;
-      std::function<void(PlatformStandIn&, std::size_t)> strike;
-      std::function<void(PlatformStandIn&, std::size_t)> mend;
+      std::function<void(PlatformStandIn&, std::size_t)> inject;
+      std::function<void(PlatformStandIn&, std::size_t)> recover;
     };
     const Case cases[] = {
         {"killed", [](PlatformStandIn& p, std::size_t who) { p.kill(who); },
@@ -315,13 +315,13 @@
       wait_until("something is listed",
                  [&] { return platform.read(witness, job, 0).document()["nextToken"] > 0; });
       const nlohmann::json seen = platform.read(witness, job, 0).document()["results"];
-      one.strike(platform, before);
+      one.inject(platform, before);
       wait_until("another coordinates", [&] {
         const std::optional<std::size_t> now = platform.coordinator();
         return now && *now != before;
       });
       CPPUNIT_ASSERT_MESSAGE(one.name, platform.wait_whole(witness, job, 24));
-      one.mend(platform, before);
+      one.recover(platform, before);
       std::this_thread::sleep_for(milliseconds(1500));
       const nlohmann::json results = checked_results(platform, witness, job);
       for (std::size_t index = 0; index < seen.size(); ++index) {
@@ -331,11 +331,11 @@
     }
   }
 
-  void a_store_that_falls_silent_loses_nothing() {
+  void a_store_outage_loses_nothing() {
     PlatformStandIn platform;
     CPPUNIT_ASSERT_EQUAL(202u, platform.submit(0, "job", 16).status);
     platform.on_loop([&] { platform.store().switches.silent = true; });
-    // Requests go on; a job is not accepted, and nobody says that one does not exist.
+    // Requests are still served; jobs are not accepted, and existing ones are not reported missing.
     CPPUNIT_ASSERT_EQUAL(200u, platform.request(1, "POST", "/safe/a", "s1", "x").status);
     CPPUNIT_ASSERT(platform.submit(1, "late", 4).status >= 500);
     CPPUNIT_ASSERT(platform.read(1, "job", 0).status >= 500);
@@ -351,7 +351,7 @@
   }
 
   /// The store may refuse or throttle one machine while it serves the others.
-  void a_store_that_refuses_the_coordinator_alone() {
+  void the_store_refuses_only_the_coordinator() {
     for (const unsigned status : {503u, 429u}) {
       PlatformStandIn platform;
       std::optional<std::size_t> refused;
@@ -364,7 +364,7 @@
       CPPUNIT_ASSERT(platform.wait_whole(other, "job-refused", 12));
       CPPUNIT_ASSERT(platform.coordinator() != refused);
       checked_results(platform, other, "job-refused");
-      // The refused process cannot tell, so it says neither 404 nor an empty list.
+      // The refused process does not know, so it must answer neither 404 nor an empty list.
       CPPUNIT_ASSERT_EQUAL(503u, platform.read(*refused, "job-refused", 0).status);
       platform.refuse_at_store(*refused, 0);
       wait_until("it reads again",
@@ -373,11 +373,11 @@
     }
   }
 
-  /// A job waited 3.6 s at processes that were cut off from the store (scale-2 of
-  /// qyzyljar-results); another one would have taken it.
-  void a_process_that_the_store_refuses_answers_at_once() {
+  /// Guards against holding a submission at a process that the store does not serve: a job waited
+  /// 3.6 s there, while another process would have accepted it.
+  void a_process_refused_by_the_store_answers_at_once() {
     constexpr milliseconds kUntilLost(2200);
-    constexpr milliseconds kAtOnce(700);  // two calls, 200 ms each and what they need
+    constexpr milliseconds kAtOnce(700);  // two calls of 200 ms each plus overhead
     for (const unsigned status : {503u, 429u}) {
       PlatformStandIn platform;
       CPPUNIT_ASSERT_EQUAL(202u, platform.submit(1, "known", 4).status);
@@ -430,7 +430,7 @@
         platform.http().send_all({call}, [&] { platform.send_signal(0, SIGTERM); });
     CPPUNIT_ASSERT_EQUAL(200u, answers.front().status);
     CPPUNIT_ASSERT(!platform.is_ready(0));
-    // Clients that kept an older answer of the directory are served for a while.
+    // Clients with a cached directory answer are still served for a while.
     CPPUNIT_ASSERT_EQUAL(200u, platform.request(0, "POST", "/safe/a", "late", "x").status);
     CPPUNIT_ASSERT_EQUAL(0, platform.wait(0));
   }
--- a/tests/platform/regions_test.cpp
+++ b/tests/platform/regions_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Real processes of the daemon on the platform's stand-in, which lies in one zone: requests and
-/// jobs of routes that allow other regions are refused at once and never run.
+/// Daemon processes against a fake platform with a single zone: requests and jobs of routes that
+/// allow only other regions never run, and requests are refused at once.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "platform_support/platform_stand_in.hpp"
@@ -64,7 +64,7 @@
     };
     wait_until("the routes are in force", [&] { return submit("home-jobs") == 202; });
     CPPUNIT_ASSERT(platform.wait_whole(1, "home-jobs", kItems, seconds(20)));
-    // No process can coordinate in the other region: the job waits and none of its items runs.
+    // No process can coordinate in the other region, so the job waits and no item runs.
     CPPUNIT_ASSERT_EQUAL(202u, submit("away-jobs"));
     CPPUNIT_ASSERT_EQUAL(503u, submit("lost-jobs"));
     CPPUNIT_ASSERT(!platform.wait_whole(0, "away-jobs", 1, milliseconds(1500)));
--- a/tests/platform/replica_rows_test.cpp
+++ b/tests/platform/replica_rows_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The rows of replicas as changes of the listing.
+/// Conversion of the replica rows of the store to changes of the listing.
 #include "platform/replica_rows.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -15,22 +15,22 @@
 
 class ReplicaRowsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaRowsTest);
-  CPPUNIT_TEST(a_new_sequence_alone_is_no_change);
-  CPPUNIT_TEST(new_words_are_a_change);
-  CPPUNIT_TEST(a_row_that_goes_is_a_removal);
-  CPPUNIT_TEST(a_row_that_cannot_be_decoded_stands_for_no_replica);
-  CPPUNIT_TEST(rows_of_another_writer_name_no_replica);
-  CPPUNIT_TEST(a_row_that_another_writer_spoiled_names_no_replica_until_it_is_mended);
-  CPPUNIT_TEST(mutated_rows_are_read_or_passed_over);
-  CPPUNIT_TEST(another_life_under_the_same_name_is_another_replica);
-  CPPUNIT_TEST(every_word_of_a_row_counts);
-  CPPUNIT_TEST(what_one_change_costs_does_not_grow_with_the_listing);
+  CPPUNIT_TEST(a_new_sequence_number_alone_is_no_change);
+  CPPUNIT_TEST(new_field_values_are_a_change);
+  CPPUNIT_TEST(a_removed_row_is_a_removal);
+  CPPUNIT_TEST(an_undecodable_row_is_no_replica);
+  CPPUNIT_TEST(invalid_rows_are_no_replica);
+  CPPUNIT_TEST(a_corrupted_row_is_no_replica_until_it_is_repaired);
+  CPPUNIT_TEST(mutated_rows_are_decoded_or_skipped);
+  CPPUNIT_TEST(a_restarted_replica_gets_a_new_id);
+  CPPUNIT_TEST(a_change_of_any_field_is_reported);
+  CPPUNIT_TEST(the_cost_of_a_change_is_independent_of_the_listing_size);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr core::MonotonicTime kNow{};
   core::Metrics metrics_;
   ReplicaRowReader reader_{metrics_};
-  records::RowChanges rows_;  ///< since the last look
+  records::RowChanges rows_;  ///< changes since the last look()
   std::uint64_t revision_ = 0;
 
   void write(const std::string& id, const std::string& value) {
@@ -48,7 +48,7 @@
         state, sequence);
   }
 
-  void a_new_sequence_alone_is_no_change() {
+  void a_new_sequence_number_alone_is_no_change() {
     write("a", entry(1));
     write("b", entry(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, look().written.size());
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT(look().empty());
   }
 
-  void new_words_are_a_change() {
+  void new_field_values_are_a_change() {
     write("a", entry(1));
     write("b", entry(1));
     look();
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT(changes.removed.empty());
   }
 
-  void a_row_that_goes_is_a_removal() {
+  void a_removed_row_is_a_removal() {
     write("a", entry(1));
     look();
     rows_.removed.push_back("a");
@@ -76,7 +76,7 @@
     CPPUNIT_ASSERT(look().empty());
   }
 
-  void a_row_that_cannot_be_decoded_stands_for_no_replica() {
+  void an_undecodable_row_is_no_replica() {
     write("a", entry(1));
     write("b", "{");
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, look().written.size());
@@ -88,53 +88,53 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, look().written.size());
   }
 
-  /// \return whether a row of these bytes names a replica.
-  static bool names_replica(const std::string& bytes) {
+  /// \return whether \p bytes decode to a replica.
+  static bool is_replica(const std::string& bytes) {
     ports::Record row;
     row.key = "a";
     row.value = bytes;
     return decode_replica(row, kNow).has_value();
   }
-  static nlohmann::json whole_row() { return nlohmann::json::parse(entry(1)); }
+  static nlohmann::json complete_row() { return nlohmann::json::parse(entry(1)); }
 
-  void rows_of_another_writer_name_no_replica() {
-    CPPUNIT_ASSERT(names_replica(whole_row().dump()));
+  void invalid_rows_are_no_replica() {
+    CPPUNIT_ASSERT(is_replica(complete_row().dump()));
     for (const char* field : {"service", "address", "zone", "slots", "state"}) {
-      nlohmann::json row = whole_row();
+      nlohmann::json row = complete_row();
       row.erase(field);
-      CPPUNIT_ASSERT_MESSAGE(field, !names_replica(row.dump()));
+      CPPUNIT_ASSERT_MESSAGE(field, !is_replica(row.dump()));
     }
     const nlohmann::json others[] = {
         nullptr, true, -1, 1.5, "", "word", nlohmann::json::array({1}), nlohmann::json::object()};
     for (const char* field : {"service", "address", "zone", "slots", "state", "models", "born"}) {
       for (const nlohmann::json& other : others) {
-        nlohmann::json row = whole_row();
+        nlohmann::json row = complete_row();
         row[field] = other;
-        const bool is_name =
+        const bool is_valid =
             (std::string_view(field) == "service" || std::string_view(field) == "zone") &&
             other == "word";
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(row.dump(), is_name, names_replica(row.dump()));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(row.dump(), is_valid, is_replica(row.dump()));
       }
     }
     for (const std::string bytes : {"", "{", "null", "[]", "\xff\xfe\x01", "17", "\"row\""}) {
-      CPPUNIT_ASSERT_MESSAGE(bytes, !names_replica(bytes));
+      CPPUNIT_ASSERT_MESSAGE(bytes, !is_replica(bytes));
     }
   }
 
-  void a_row_that_another_writer_spoiled_names_no_replica_until_it_is_mended() {
+  void a_corrupted_row_is_no_replica_until_it_is_repaired() {
     write("a", entry(1));
     write("b", entry(1));
     look();
     write("a", "\xff");
-    const ingress::ReplicaChanges spoiled = look();
-    CPPUNIT_ASSERT(spoiled.removed == std::vector<core::ReplicaId>{core::ReplicaId("a")});
-    CPPUNIT_ASSERT(spoiled.written.empty());
+    const ingress::ReplicaChanges corrupted = look();
+    CPPUNIT_ASSERT(corrupted.removed == std::vector<core::ReplicaId>{core::ReplicaId("a")});
+    CPPUNIT_ASSERT(corrupted.written.empty());
     write("a", entry(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, look().written.size());
   }
 
-  /// Bytes are changed, left out and doubled at random: whatever comes of it, the reader goes on.
-  void mutated_rows_are_read_or_passed_over() {
+  /// Rows with randomly changed, removed and duplicated bytes must not stop the reader.
+  void mutated_rows_are_decoded_or_skipped() {
     constexpr int kRows = 20'000;
     core::RandomSource random(20);
     const std::string whole = entry(1);
@@ -165,13 +165,13 @@
   }
 
   static std::string entry_born(std::uint64_t born) {
-    nlohmann::json row = whole_row();
+    nlohmann::json row = complete_row();
     row["born"] = born;
     return row.dump();
   }
 
-  /// Whatever was kept of the replica under its id ends with its first life.
-  void another_life_under_the_same_name_is_another_replica() {
+  /// A restarted replica must get a new id, so that state stored under the old id is not reused.
+  void a_restarted_replica_gets_a_new_id() {
     constexpr std::uint64_t kFirst = 1'785'831'306'770;
     write("a", entry_born(kFirst));
     const ingress::ReplicaChanges first = look();
@@ -188,7 +188,7 @@
                    std::vector<core::ReplicaId>{core::replica_life("a", kFirst + 1)});
   }
 
-  void every_word_of_a_row_counts() {
+  void a_change_of_any_field_is_reported() {
     const std::pair<const char*, nlohmann::json> others[] = {
         {"service", "other"},
         {"address", "10.0.0.1:8001"},
@@ -203,15 +203,15 @@
     for (const auto& [field, other] : others) {
       write("a", entry(1));
       look();
-      nlohmann::json row = whole_row();
+      nlohmann::json row = complete_row();
       row[field] = other;
       write("a", row.dump());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(field, std::size_t{1}, look().written.size());
     }
   }
 
-  /// Rows decoded, as the listing grows fourfold.
-  void what_one_change_costs_does_not_grow_with_the_listing() {
+  /// A change of one row must decode one row, also when the listing is four times as long.
+  void the_cost_of_a_change_is_independent_of_the_listing_size() {
     for (const std::size_t listed : {100u, 400u}) {
       for (std::size_t row = 0; row < listed; ++row) {
         write(fmt::format("row-{}", row), entry(1));
--- a/tests/platform/settings_test.cpp
+++ b/tests/platform/settings_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The project's own switches in the settings file that the platform writes.
+/// Load control switches in the settings file that the platform writes.
 #include "platform/settings.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,9 +10,9 @@
 
 class SettingsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SettingsTest);
-  CPPUNIT_TEST(parts_of_load_control_are_on_unless_said_otherwise_but_for_fair_steps);
-  CPPUNIT_TEST(each_part_has_a_switch);
-  CPPUNIT_TEST(a_switch_that_is_no_truth_value_is_a_fault);
+  CPPUNIT_TEST(load_control_defaults);
+  CPPUNIT_TEST(each_feature_has_a_switch);
+  CPPUNIT_TEST(a_switch_must_be_a_boolean);
   CPPUNIT_TEST_SUITE_END();
 
   static nlohmann::json settings() {
@@ -28,14 +28,14 @@
             {"platform", {{"address", "10.200.1.7:8169"}}}};
   }
 
-  void parts_of_load_control_are_on_unless_said_otherwise_but_for_fair_steps() {
+  void load_control_defaults() {
     const auto read = parse_settings(settings().dump());
     CPPUNIT_ASSERT(read);
-    const node::LoadControlSettings usual{true, true, true, false};
-    CPPUNIT_ASSERT(read->load_control == usual);
+    const node::LoadControlSettings defaults{true, true, true, false};
+    CPPUNIT_ASSERT(read->load_control == defaults);
   }
 
-  void each_part_has_a_switch() {
+  void each_feature_has_a_switch() {
     nlohmann::json text = settings();
     text["loadControl"] = {
         {"admission", false}, {"sharedHealth", false}, {"secondCalls", false}, {"fairSteps", true}};
@@ -45,7 +45,7 @@
     CPPUNIT_ASSERT(read->load_control == changed);
   }
 
-  void a_switch_that_is_no_truth_value_is_a_fault() {
+  void a_switch_must_be_a_boolean() {
     for (const nlohmann::json& value : {nlohmann::json("on"), nlohmann::json({{"admission", 1}})}) {
       nlohmann::json text = settings();
       text["loadControl"] = value;
--- a/tests/unit/fleet/replica_scaler_test.cpp
+++ b/tests/unit/fleet/replica_scaler_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Orders of spot replicas: written down before they are sent, repeated until taken, taken over
-/// by a later holder, never sent by one that is not sure of its term.
+/// Orders of spot replicas: recorded before they are sent, repeated until accepted, taken over by
+/// the next coordinator, and never sent by a process that is not sure of its term.
 #include "fleet/replica_scaler.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,7 +20,7 @@
   struct Taken {
     ports::DutyHolder holder;
     ports::ReplicaOrder order;
-    std::string stored;  ///< what the store held when the order came
+    std::string stored;  ///< content of the store when the order arrived
     core::MonotonicTime at;
   };
   explicit FakePlatform(support::FakeRecordStore& store) : store_(store) {}
@@ -56,10 +56,10 @@
 
 class ReplicaScalerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaScalerTest);
-  CPPUNIT_TEST(ordinary_times_order_nothing);
-  CPPUNIT_TEST(late_steps_bring_replicas_which_go_back_later);
-  CPPUNIT_TEST(a_refused_order_is_repeated_after_a_pause);
-  CPPUNIT_TEST(a_later_holder_keeps_apart_and_gives_back_what_is_left);
+  CPPUNIT_TEST(nothing_is_ordered_while_steps_are_on_time);
+  CPPUNIT_TEST(late_steps_order_replicas_which_are_returned_later);
+  CPPUNIT_TEST(a_refused_order_is_retried_after_a_pause);
+  CPPUNIT_TEST(the_next_coordinator_waits_and_returns_replicas);
   CPPUNIT_TEST(nothing_is_sent_without_the_term);
   CPPUNIT_TEST_SUITE_END();
 
@@ -87,7 +87,7 @@
       job->items.resize(30);
     }
 
-    /// The job was accepted \p age ago.
+    /// Opens the job as accepted \p age ago.
     void accept_job(core::Duration age) {
       const auto ago = std::chrono::duration_cast<ports::StoreTime>(age);
       job->entry.accepted_at = *store.now() - ago;
@@ -142,7 +142,7 @@
   };
   using Counts = std::vector<std::uint32_t>;
 
-  void ordinary_times_order_nothing() {
+  void nothing_is_ordered_while_steps_are_on_time() {
     World world;
     world.accept_job(milliseconds(0));
     const auto scaler = world.hold(1, "one");
@@ -151,12 +151,12 @@
     CPPUNIT_ASSERT_EQUAL(0, world.platform.calls);
   }
 
-  void late_steps_bring_replicas_which_go_back_later() {
+  void late_steps_order_replicas_which_are_returned_later() {
     World world;
     world.accept_job(milliseconds(200));
     const auto scaler = world.hold(1, "one");
     world.run_for(milliseconds(60));
-    // 30 texts need five replicas of six places; one is there.
+    // 30 texts need five replicas with six slots each; one exists.
     CPPUNIT_ASSERT(world.ordered() == Counts({4}));
     const FakePlatform::Taken& taken = world.platform.taken.front();
     CPPUNIT_ASSERT(taken.order.spot);
@@ -169,7 +169,7 @@
     CPPUNIT_ASSERT(world.ordered() == Counts({4, 0}));
   }
 
-  void a_refused_order_is_repeated_after_a_pause() {
+  void a_refused_order_is_retried_after_a_pause() {
     World world;
     world.accept_job(milliseconds(200));
     world.platform.refusals = 2;
@@ -182,7 +182,7 @@
     CPPUNIT_ASSERT_EQUAL(4u, world.platform.taken.front().order.count);
   }
 
-  void a_later_holder_keeps_apart_and_gives_back_what_is_left() {
+  void the_next_coordinator_waits_and_returns_replicas() {
     World world;
     world.accept_job(milliseconds(200));
     const auto former = world.hold(1, "one");
--- a/tests/unit/node/caller_directory_test.cpp
+++ b/tests/unit/node/caller_directory_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whom a caller is told to connect to.
+/// Selection of the processes that a caller is told to connect to.
 #include "node/caller_directory.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,7 +11,7 @@
 
 class CallerDirectoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallerDirectoryTest);
-  CPPUNIT_TEST(the_nearest_groups_are_named);
+  CPPUNIT_TEST(the_nearest_groups_are_selected);
   CPPUNIT_TEST(a_large_group_is_sampled_fairly);
   CPPUNIT_TEST_SUITE_END();
 
@@ -43,7 +43,7 @@
     return takers;
   }
 
-  /// \return the zones that are named, in order.
+  /// \return the zones of \p addresses, in order of first appearance.
   static std::string zones_of(const std::vector<core::Address>& addresses) {
     std::string zones;
     for (const core::Address& address : addresses) {
@@ -55,11 +55,11 @@
     return zones;
   }
 
-  void the_nearest_groups_are_named() {
+  void the_nearest_groups_are_selected() {
     struct Case {
       std::string name;
       std::map<std::string, std::size_t> takers;
-      eligibility::Regions homes;
+      eligibility::Regions allowed_regions;
       std::string zones;
     };
     const core::RegionName east("e");
@@ -69,8 +69,8 @@
         {"few in the zone", {{"w1", 2}, {"w2", 9}, {"e1", 9}}, {}, "w1 w2 "},
         {"few in the region", {{"w1", 1}, {"w2", 1}, {"e1", 9}}, {}, "w1 w2 e1 "},
         {"none near", {{"e1", 9}}, {}, "e1 "},
-        {"homes before others", {{"w1", 1}, {"e1", 9}, {"n1", 9}}, {east}, "w1 e1 "},
-        {"homes only though few", {{"e1", 1}, {"n1", 9}}, {east}, "e1 "},
+        {"allowed regions before others", {{"w1", 1}, {"e1", 9}, {"n1", 9}}, {east}, "w1 e1 "},
+        {"allowed regions only, though few", {{"e1", 1}, {"n1", 9}}, {east}, "e1 "},
         {"own region though no home", {{"w2", 1}, {"n1", 9}}, {east}, "w2 "},
         {"neither is in touch", {{"n1", 4}}, {east}, "n1 "},
         {"the own region is a home", {{"w1", 2}, {"n1", 9}}, {west}, "w1 "},
@@ -79,13 +79,15 @@
     for (const Case& one : cases) {
       core::RandomSource random(1);
       const std::vector<wire::Member> takers = members(one.takers);
-      const std::vector<core::Address> named = select_caller_addresses(
-          pointers(takers), {core::ZoneName("w1"), core::RegionName("w")}, one.homes, random);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(one.name, one.zones, zones_of(named));
+      const std::vector<core::Address> selected =
+          select_caller_addresses(pointers(takers), {core::ZoneName("w1"), core::RegionName("w")},
+                                  one.allowed_regions, random);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(one.name, one.zones, zones_of(selected));
     }
   }
 
-  /// The first 64 in the order of names took all callers, the others none.
+  /// Guards against always returning the first 64 processes by name, which sent all callers to
+  /// these and none to the others.
   void a_large_group_is_sampled_fairly() {
     constexpr std::size_t kTakers = 100;
     constexpr int kAnswers = 200;
@@ -93,10 +95,10 @@
     core::RandomSource random(1);
     std::map<std::string, int> times;
     for (int answer = 0; answer < kAnswers; ++answer) {
-      const std::vector<core::Address> named = select_caller_addresses(
+      const std::vector<core::Address> selected = select_caller_addresses(
           pointers(takers), {core::ZoneName("w1"), core::RegionName("w")}, {}, random);
-      CPPUNIT_ASSERT_EQUAL(kMaxCallerAddresses, named.size());
-      for (const core::Address& address : named) {
+      CPPUNIT_ASSERT_EQUAL(kMaxCallerAddresses, selected.size());
+      for (const core::Address& address : selected) {
         ++times[address.ip];
       }
     }
--- a/tests/unit/node/directory_answer_test.cpp
+++ b/tests/unit/node/directory_answer_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which processes a caller is told of.
+/// Which members the directory's answer to a caller contains.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 class DirectoryAnswerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DirectoryAnswerTest);
-  CPPUNIT_TEST(names_those_that_take_callers);
-  CPPUNIT_TEST(names_the_callers_zone_however_many_others_come_first);
+  CPPUNIT_TEST(lists_members_that_accept_callers);
+  CPPUNIT_TEST(lists_the_callers_zone_regardless_of_other_zones);
   CPPUNIT_TEST_SUITE_END();
 
   static wire::Member member(const std::string& zone, int number) {
@@ -24,7 +24,7 @@
   static void add(wire::MemberMap& members, wire::Member member) {
     members[member.node] = std::move(member);
   }
-  /// \return the names in order of the alphabet: within a group the order is by chance.
+  /// \return the sorted names; sorted because the order within a group is random.
   static std::vector<std::string> names(const ResponderState& view, const std::string& zone,
                                         const wire::MemberMap& members) {
     core::RandomSource random(1);
@@ -38,7 +38,7 @@
     return named;
   }
 
-  void names_those_that_take_callers() {
+  void lists_members_that_accept_callers() {
     wire::MemberMap members;
     for (int number = 1; number <= 5; ++number) {
       add(members, member("a", number));
@@ -51,14 +51,15 @@
     const core::NodeId self("a-1");
     CPPUNIT_ASSERT((Names{"a-1", "a-5", "b-1"} == names({self, true, true}, "a", members)));
     CPPUNIT_ASSERT((Names{"a-5", "b-1"} == names({self, false, true}, "a", members)));
-    // What is known of the others is out of date.
+    // Without contact to the others their records are out of date.
     CPPUNIT_ASSERT((Names{"a-1"} == names({self, true, false}, "a", members)));
     CPPUNIT_ASSERT((Names{} == names({self, false, false}, "a", members)));
   }
 
-  /// The limit of an answer was used up by zones that come first in order: of 74 processes in
-  /// three zones ten of the last were never named, of 295 in six the last three zones were not.
-  void names_the_callers_zone_however_many_others_come_first() {
+  /// Guards against filling the limited answer with zones that sort first: with 74 processes in
+  /// three zones, ten processes of the last zone were never returned; with 295 in six zones, none
+  /// of the last three zones.
+  void lists_the_callers_zone_regardless_of_other_zones() {
     wire::MemberMap members;
     for (const std::string zone : {"a", "b", "c"}) {
       for (int number = 1; number <= 30; ++number) {
--- a/tests/unit/node/gossip_zone_test.cpp
+++ b/tests/unit/node/gossip_zone_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What members that are left know when a whole zone ends at once or is cut off, with
-/// the settings of a process that answers who takes callers. Virtual time.
+/// Failure detection when a whole zone fails or is partitioned at once, with the gossip settings of
+/// a deployment. Runs in virtual time.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -17,14 +17,15 @@
 
 constexpr std::size_t kZones = 3;
 constexpr std::size_t kMembers = 74;
-/// Everybody has named everybody else well before.
+/// Generous limit for the initial convergence.
 constexpr core::Duration kJoinLimit = std::chrono::seconds(30);
-/// The address of a process that ended must not be given out for longer: the least bound of
-/// the deployments.
-constexpr core::Duration kLongestNamed = std::chrono::seconds(7);
-/// Of a lost third, with time left for answers that callers keep: named for 5.2 to 6.25 s at
-/// 6,000 bytes a second and process, for 2.15 to 3.4 s now.
-constexpr core::Duration kLostZoneKnown = std::chrono::milliseconds(4000);
+/// Longest time for which the address of an ended process may be given out: the strictest limit of
+/// all deployments.
+constexpr core::Duration kMaxTimeToRemove = std::chrono::seconds(7);
+/// The same for a lost third of the processes, leaving time for answers cached by callers.
+/// Addresses were given out for 5.2 to 6.25 s with a limit of 6,000 bytes per second and process,
+/// and for 2.15 to 3.4 s with the current limit.
+constexpr core::Duration kMaxTimeToRemoveZone = std::chrono::milliseconds(4000);
 
 GossipSimulationSettings zone_settings(std::uint64_t seed) {
   GossipSimulationSettings settings;
@@ -44,10 +45,10 @@
 
 class GossipZoneTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GossipZoneTest);
-  CPPUNIT_TEST(a_lost_zone_is_not_named_for_long);
-  CPPUNIT_TEST(a_lost_zone_that_is_back_is_named_again);
-  CPPUNIT_TEST(a_cut_zone_names_its_own_and_nobody_who_ended_behind_the_cut);
-  CPPUNIT_TEST(a_cut_process_knows_within_seconds);
+  CPPUNIT_TEST(a_lost_zone_is_removed_quickly);
+  CPPUNIT_TEST(a_restarted_zone_is_added_again);
+  CPPUNIT_TEST(a_partitioned_zone_keeps_only_its_own_members);
+  CPPUNIT_TEST(an_isolated_process_detects_it_within_seconds);
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
@@ -59,15 +60,15 @@
       simulation.run_until([&] { return simulation.now() >= end; }, length);
     }
     /// \return whether \p observer gives out the address of \p index.
-    bool names(std::size_t observer, std::size_t index) const {
+    bool lists(std::size_t observer, std::size_t index) const {
       const wire::Member* known =
           simulation.state(observer).records().find(GossipSimulation::node_name(index));
       return known != nullptr && known->state == wire::MemberState::kAlive && !known->leaving;
     }
-    std::size_t named_in(std::size_t observer, std::size_t zone) const {
+    std::size_t listed_in(std::size_t observer, std::size_t zone) const {
       std::size_t count = 0;
       for (std::size_t index = 0; index < kMembers; ++index) {
-        count += is_in_zone(index, zone) && names(observer, index) ? 1 : 0;
+        count += is_in_zone(index, zone) && lists(observer, index) ? 1 : 0;
       }
       return count;
     }
@@ -76,10 +77,10 @@
         act(index);
       }
     }
-    /// \return whether any running process out of \p zone names one in it.
-    bool others_name(std::size_t zone) const {
+    /// \return whether any process outside \p zone gives out an address in it.
+    bool others_list(std::size_t zone) const {
       for (std::size_t observer = 0; observer < kMembers; ++observer) {
-        if (!is_in_zone(observer, zone) && named_in(observer, zone) > 0) {
+        if (!is_in_zone(observer, zone) && listed_in(observer, zone) > 0) {
           return true;
         }
       }
@@ -88,18 +89,18 @@
     GossipSimulation simulation;
   };
 
-  void a_lost_zone_is_not_named_for_long() {
+  void a_lost_zone_is_removed_quickly() {
     for (const std::uint64_t seed : {1, 2, 3, 11, 12, 13}) {
       World world(seed);
       world.for_zone(1, [&](std::size_t index) { world.simulation.stop(index); });
       const auto took =
-          world.simulation.run_until([&] { return !world.others_name(1); }, kLongestNamed);
+          world.simulation.run_until([&] { return !world.others_list(1); }, kMaxTimeToRemove);
       CPPUNIT_ASSERT(took.has_value());
-      CPPUNIT_ASSERT(*took <= kLostZoneKnown);
+      CPPUNIT_ASSERT(*took <= kMaxTimeToRemoveZone);
     }
   }
 
-  void a_lost_zone_that_is_back_is_named_again() {
+  void a_restarted_zone_is_added_again() {
     World world(4);
     world.for_zone(1, [&](std::size_t index) { world.simulation.stop(index); });
     world.run(std::chrono::milliseconds(1500));
@@ -109,7 +110,7 @@
     CPPUNIT_ASSERT(took.has_value());
   }
 
-  void a_cut_zone_names_its_own_and_nobody_who_ended_behind_the_cut() {
+  void a_partitioned_zone_keeps_only_its_own_members() {
     for (const std::uint64_t seed : {5, 6, 7, 14, 15, 16}) {
       World world(seed);
       world.for_zone(2, [&](std::size_t index) { world.simulation.set_group(index, 1); });
@@ -118,30 +119,31 @@
       for (const std::size_t index : ended) {
         world.simulation.stop(index);
       }
-      const auto names_any = [&](std::size_t observer) {
+      const auto lists_any = [&](std::size_t observer) {
         return std::any_of(ended.begin(), ended.end(),
-                           [&](std::size_t index) { return world.names(observer, index); });
+                           [&](std::size_t index) { return world.lists(observer, index); });
       };
-      const auto any_names_any = [&] {
+      const auto any_lists_any = [&] {
         bool any = false;
-        world.for_zone(2, [&](std::size_t observer) { any |= names_any(observer); });
+        world.for_zone(2, [&](std::size_t observer) { any |= lists_any(observer); });
         return any;
       };
-      const auto took = world.simulation.run_until([&] { return !any_names_any(); }, kLongestNamed);
+      const auto took =
+          world.simulation.run_until([&] { return !any_lists_any(); }, kMaxTimeToRemove);
       CPPUNIT_ASSERT(took.has_value());
-      world.run(kLongestNamed - *took);
+      world.run(kMaxTimeToRemove - *took);
       world.for_zone(2, [&](std::size_t observer) {
-        CPPUNIT_ASSERT_EQUAL(std::size_t{24}, world.named_in(observer, 2));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.named_in(observer, 0));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.named_in(observer, 1));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{24}, world.listed_in(observer, 2));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.listed_in(observer, 0));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.listed_in(observer, 1));
       });
-      // The cut heals: those who ended are named by nobody, at no time.
+      // After the partition heals no process may ever give out the ended ones.
       for (std::size_t index = 0; index < kMembers; ++index) {
         world.simulation.set_group(index, 0);
       }
       const auto healed = world.simulation.run_until(
           [&] {
-            CPPUNIT_ASSERT(!any_names_any());
+            CPPUNIT_ASSERT(!any_lists_any());
             return world.simulation.converged();
           },
           std::chrono::seconds(30));
@@ -149,8 +151,9 @@
     }
   }
 
-  /// Its own probes would find the others one by one, in 18 s.
-  void a_cut_process_knows_within_seconds() {
+  /// An isolated process must notice quickly that nobody answers it; its own probes alone would
+  /// take 18 s to find all others unreachable one by one.
+  void an_isolated_process_detects_it_within_seconds() {
     for (const std::uint64_t seed : {8, 9, 10}) {
       World world(seed);
       const auto is_answered = [&] {
--- a/tests/unit/node/health_exchange_test.cpp
+++ b/tests/unit/node/health_exchange_test.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// How findings about replicas pass among processes: how soon all avoid a dark replica, how many
-/// packets that takes at n and 4n processes, and what a cut, an end or an older process changes.
+/// Distribution of findings about replicas: the time until all processes avoid an unresponsive
+/// replica, the number of packets with n and 4n processes, and the effects of a partition, of a
+/// crash and of a peer of another version.
 #include "node/health_exchange.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -38,7 +39,7 @@
 
 class Fleet;
 
-/// Hands packets to the others of the fleet, where they are not cut off, and counts.
+/// Transport that delivers packets to the other processes of the fleet.
 class Link : public controllers::GossipTransport {
  public:
   Link(Fleet& fleet, std::size_t index) : fleet_(fleet), index_(index) {}
@@ -82,10 +83,11 @@
   HealthExchange exchange;
 };
 
-/// Processes in memory, which all know one another.
+/// Simulated processes that all know each other. Counts the packets and drops those across a
+/// partition.
 class Fleet {
  public:
-  explicit Fleet(std::size_t count, std::size_t switched_on = 1'000'000) {
+  explicit Fleet(std::size_t count, std::size_t enabled = 1'000'000) {
     for (std::size_t index = 0; index < count; ++index) {
       processes.push_back(std::make_unique<Process>(*this, context, time, index));
       by_address[member(index).gossip_address] = index;
@@ -96,15 +98,15 @@
         process.exchange.on_message(message);
       });
       process.gossip.start();
-      if (index < switched_on) {
+      if (index < enabled) {
         process.exchange.start();
       }
     }
     introduce_all();
     run_for(milliseconds(20));
   }
-  /// Makes process 0 know members \p first to \p end, which hear nothing.
-  void introduce_strangers(std::size_t first, std::size_t end) {
+  /// Adds members \p first to \p end - 1, which receive nothing, to the list of process 0.
+  void add_remote_members(std::size_t first, std::size_t end) {
     for (std::size_t other = first; other < end; ++other) {
       wire::GossipPacket packet;
       packet.sender = member(other);
@@ -119,7 +121,7 @@
     const core::Result<wire::GossipPacket> packet = wire::decode_packet(bytes);
     CPPUNIT_ASSERT(packet.has_value());
     if (!std::holds_alternative<wire::HealthReport>(packet->message)) {
-      return;  // membership is as introduced
+      return;  // the membership stays as introduced
     }
     ++packets;
     total_bytes += bytes.size();
@@ -163,7 +165,7 @@
   std::function<bool(std::size_t, std::size_t)> is_cut;
   std::set<std::size_t> ended;
   std::map<core::Address, std::size_t> by_address;
-  milliseconds delay{0};  ///< of each datagram
+  milliseconds delay{0};  ///< latency of each datagram
   std::size_t packets = 0;
   std::size_t total_bytes = 0;
 
@@ -190,15 +192,15 @@
 class HealthExchangeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HealthExchangeTest);
   CPPUNIT_TEST(nothing_is_sent_while_replicas_answer);
-  CPPUNIT_TEST(a_dark_replica_is_avoided_by_all_within_a_second);
-  CPPUNIT_TEST(packets_do_not_grow_with_processes_squared);
-  CPPUNIT_TEST(packets_follow_processes_between_regions_too);
-  CPPUNIT_TEST(a_process_that_finds_again_and_again_is_bounded);
+  CPPUNIT_TEST(a_silent_replica_is_avoided_by_all_within_a_second);
+  CPPUNIT_TEST(packets_do_not_grow_quadratically);
+  CPPUNIT_TEST(packets_grow_linearly_between_regions_too);
+  CPPUNIT_TEST(repeated_findings_are_rate_limited);
   CPPUNIT_TEST(bytes_are_bounded_at_985_and_3940_processes);
-  CPPUNIT_TEST(a_process_that_ends_midway_leaves_it_to_the_next);
-  CPPUNIT_TEST(a_cut_between_processes_ejects_nothing_beyond_it);
-  CPPUNIT_TEST(switched_off_it_neither_tells_nor_believes);
-  CPPUNIT_TEST(a_message_of_a_later_version_is_passed_over);
+  CPPUNIT_TEST(findings_spread_although_the_first_reporter_crashes);
+  CPPUNIT_TEST(a_partition_ejects_no_replica_elsewhere);
+  CPPUNIT_TEST(disabled_it_neither_sends_nor_applies_findings);
+  CPPUNIT_TEST(a_message_of_a_later_version_is_ignored);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -212,13 +214,13 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.packets);
   }
 
-  void a_dark_replica_is_avoided_by_all_within_a_second() {
+  void a_silent_replica_is_avoided_by_all_within_a_second() {
     constexpr std::size_t kProcesses = 40;
     Fleet fleet(kProcesses);
     const core::MonotonicTime first = fleet.time.now();
     fleet.find_silent(0, 2);
     fleet.run_for(milliseconds(150));
-    // One word alone: the others prefer another replica.
+    // After a single report the others only prefer other replicas.
     CPPUNIT_ASSERT_EQUAL(kProcesses - 1, fleet.doubting(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.avoiding(2));
     fleet.find_silent(7, 2);
@@ -226,13 +228,13 @@
     CPPUNIT_ASSERT_EQUAL(kProcesses, fleet.avoiding(2));
     CPPUNIT_ASSERT(fleet.time.now() - first < std::chrono::seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.avoiding(1));
-    // One that hears it answer tells the others.
+    // A process that gets an answer from the replica reports it to the others.
     fleet.processes[20]->replica(2).note_success(fleet.time.now());
     fleet.run_for(milliseconds(150));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fleet.avoiding(2));  // those that found it themselves
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fleet.avoiding(2));  // the two that timed out themselves
   }
 
-  /// All find the same replica dark at the same moment.
+  /// \return the number of packets when all processes find the same replica silent at once.
   static std::size_t packets_when_all_find(std::size_t processes, milliseconds delay) {
     Fleet fleet(processes);
     fleet.delay = delay;
@@ -247,23 +249,24 @@
     return fleet.packets;
   }
 
-  void packets_do_not_grow_with_processes_squared() {
+  void packets_do_not_grow_quadratically() {
     const std::size_t few = packets_when_all_find(30, milliseconds(0));
     const std::size_t many = packets_when_all_find(120, milliseconds(0));
-    // Three tell all the others, and those that begin while these are under way.
+    // Three processes report to all others, as do those that start before these reports arrive.
     CPPUNIT_ASSERT(few >= 3 * 29);
     CPPUNIT_ASSERT(few <= 10 * 29);
     CPPUNIT_ASSERT(many <= 10 * 119);
   }
 
-  /// A dozen more begin while the first are under way, however many processes there are.
-  void packets_follow_processes_between_regions_too() {
+  /// About a dozen more processes start to send before the first reports arrive, regardless of the
+  /// number of processes.
+  void packets_grow_linearly_between_regions_too() {
     constexpr milliseconds kBetweenRegions{12};
     CPPUNIT_ASSERT(packets_when_all_find(30, kBetweenRegions) <= 25 * 29);
     CPPUNIT_ASSERT(packets_when_all_find(120, kBetweenRegions) <= 25 * 119);
   }
 
-  void a_process_that_finds_again_and_again_is_bounded() {
+  void repeated_findings_are_rate_limited() {
     for (const std::size_t processes : {std::size_t{20}, std::size_t{80}}) {
       Fleet fleet(processes);
       for (int round = 0; round < 100; ++round) {
@@ -271,22 +274,23 @@
         fleet.find_silent(0, 2);
         fleet.run_for(milliseconds(10));
       }
-      // The burst and a second's worth, however many processes there are.
+      // At most the burst plus the rate, regardless of the number of processes.
       const HealthExchangeSettings settings;
       const double most = settings.packets.burst + 2 * settings.packets.tokens_per_second;
       CPPUNIT_ASSERT(static_cast<double>(fleet.packets) <= most);
     }
   }
 
-  /// Of the load of one process on the link while it finds replicas dark for 1.5 s on end. Both
-  /// fleets take the burst and the long rate; the larger one is told in part.
+  /// Limits the traffic of one process that keeps finding replicas silent for 1.5 s. In both fleets
+  /// it sends the burst and then the long-term rate; in the larger one this reaches only a part of
+  /// the members.
   void bytes_are_bounded_at_985_and_3940_processes() {
     constexpr std::size_t kFleets[] = {985, 4 * 985};
     constexpr std::size_t kMostPacketBytes = 150;
     const HealthExchangeSettings settings;
     for (const std::size_t members : kFleets) {
       Fleet fleet(1);
-      fleet.introduce_strangers(1, members);
+      fleet.add_remote_members(1, members);
       const core::MonotonicTime begin = fleet.time.now();
       while (fleet.time.now() - begin < milliseconds(1500)) {
         fleet.find_silent(0, 1);
@@ -304,10 +308,10 @@
     }
   }
 
-  void a_process_that_ends_midway_leaves_it_to_the_next() {
+  void findings_spread_although_the_first_reporter_crashes() {
     constexpr std::size_t kProcesses = 12;
     Fleet fleet(kProcesses);
-    // It reaches two of them, then it is gone.
+    // The process reaches two others before it ends.
     fleet.is_cut = [](std::size_t from, std::size_t to) { return from == 0 && to > 2; };
     fleet.find_silent(0, 2);
     fleet.run_for(milliseconds(50));
@@ -319,20 +323,20 @@
     CPPUNIT_ASSERT_EQUAL(kProcesses, fleet.avoiding(2));
   }
 
-  /// Processes of zone 1 no longer reach the replicas of zone 2, which all others do.
-  void a_cut_between_processes_ejects_nothing_beyond_it() {
+  /// Processes of zone 1 cannot reach the replicas of zone 2, but all others can.
+  void a_partition_ejects_no_replica_elsewhere() {
     Fleet fleet(12);
     for (std::size_t index = 1; index < 12; index += 3) {
       fleet.find_silent(index, 2);
       fleet.find_silent(index, 5);
     }
     fleet.run_for(milliseconds(100));
-    // The four of that zone, and none of the others.
+    // Only the four processes of zone 1 avoid them.
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, fleet.avoiding(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, fleet.avoiding(5));
   }
 
-  void switched_off_it_neither_tells_nor_believes() {
+  void disabled_it_neither_sends_nor_applies_findings() {
     Fleet fleet(6, 3);
     fleet.find_silent(3, 1);
     fleet.find_silent(4, 1);
@@ -345,7 +349,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2 * 5}, fleet.packets);
   }
 
-  void a_message_of_a_later_version_is_passed_over() {
+  void a_message_of_a_later_version_is_ignored() {
     Fleet fleet(3);
     wire::GossipPacket packet;
     packet.sender = member(1);
--- a/tests/unit/node/holder_liveness_test.cpp
+++ b/tests/unit/node/holder_liveness_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the members' list says of the term's holder.
+/// What the membership list says about the holder of the term.
 #include "node/holder_liveness.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,7 +8,7 @@
 
 class HolderLivenessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HolderLivenessTest);
-  CPPUNIT_TEST(cases);
+  CPPUNIT_TEST(liveness_of_the_holder);
   CPPUNIT_TEST_SUITE_END();
 
   static wire::Member member(const std::string& node, std::uint64_t life, wire::MemberState state) {
@@ -19,7 +19,7 @@
     return made;
   }
 
-  void cases() {
+  void liveness_of_the_holder() {
     using jobs::HolderSign;
     using wire::MemberState;
     struct Case {
@@ -34,8 +34,8 @@
         {"suspect", "n#7", 7, MemberState::kSuspect, HolderSign::kSuspect},
         {"dead", "n#7", 7, MemberState::kDead, HolderSign::kSuspect},
         {"started anew", "n#7", 8, MemberState::kAlive, HolderSign::kEnded},
-        // A holder that has just started, known here by its life before: the bids
-        // against it on 2026-12-02 (bench/days/rolling-stop.toml).
+        // A holder that has just restarted, of which only the previous run is known here, must not
+        // count as ended: other processes bid for its term.
         {"only an earlier life is known", "n#7", 6, MemberState::kAlive, HolderSign::kUnknown},
         {"an earlier life is dead", "n#7", 6, MemberState::kDead, HolderSign::kUnknown},
         {"another node", "m#7", 9, MemberState::kDead, HolderSign::kUnknown},
--- a/tests/unit/node/isolation_test.cpp
+++ b/tests/unit/node/isolation_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// When a process counts as cut off from all others.
+/// When a process is considered isolated.
 #include "node/isolation.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,7 +8,7 @@
 
 class IsolationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(IsolationTest);
-  CPPUNIT_TEST(a_process_is_isolated_without_store_and_members);
+  CPPUNIT_TEST(a_process_without_store_and_members_is_isolated);
   CPPUNIT_TEST_SUITE_END();
 
   static wire::Member member(const std::string& name, wire::MemberState state,
@@ -20,7 +20,7 @@
     return made;
   }
 
-  void a_process_is_isolated_without_store_and_members() {
+  void a_process_without_store_and_members_is_isolated() {
     using wire::MemberState;
     const wire::Member self = member("self", MemberState::kAlive);
     const wire::Member alive = member("a", MemberState::kAlive);
--- a/tests/unit/node/load_view_test.cpp
+++ b/tests/unit/node/load_view_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a process tells operators of the load: places and avoided replicas by service and zone,
-/// and what became of requests, as a page and as metrics.
+/// Load of a process as shown to operators, as a view and as metrics: capacity and avoided replicas
+/// by service and zone, and the outcomes of requests.
 #include "node/load_view.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,11 +13,11 @@
 
 class LoadViewTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LoadViewTest);
-  CPPUNIT_TEST(a_full_zone_shows_beside_an_idle_one);
-  CPPUNIT_TEST(avoided_replicas_are_named_and_those_beyond_are_counted);
-  CPPUNIT_TEST(a_service_without_replicas_shows_by_its_refusals);
+  CPPUNIT_TEST(full_and_idle_zones_are_shown);
+  CPPUNIT_TEST(avoided_replicas_are_listed_up_to_a_limit);
+  CPPUNIT_TEST(a_service_without_replicas_is_shown_with_its_refusals);
   CPPUNIT_TEST(metrics_follow_the_ledger_by_service);
-  CPPUNIT_TEST(services_beyond_the_bound_get_no_metrics);
+  CPPUNIT_TEST(services_beyond_the_limit_get_no_metrics);
   CPPUNIT_TEST_SUITE_END();
 
   inline static const core::ServiceName kDesk{"desk"};
@@ -50,8 +50,8 @@
     return metrics.to_text().find(line + "\n") != std::string::npos;
   }
 
-  /// Two replicas of three places in each zone; all six calls run in one of them.
-  void a_full_zone_shows_beside_an_idle_one() {
+  /// Two replicas with three slots in each zone; all six calls run in one zone.
+  void full_and_idle_zones_are_shown() {
     World world;
     std::vector<std::unique_ptr<ingress::InFlight>> calls;
     for (const std::string id : {"e1", "e2"}) {
@@ -77,7 +77,7 @@
     CPPUNIT_ASSERT(east.is_open && east.avoided.empty());
   }
 
-  void avoided_replicas_are_named_and_those_beyond_are_counted() {
+  void avoided_replicas_are_listed_up_to_a_limit() {
     World world;
     world.add("r0", "east");
     for (int index = 0; index < 20; ++index) {
@@ -97,8 +97,8 @@
     CPPUNIT_ASSERT(zone.avoided[1].left == core::Duration(seconds(1)));
   }
 
-  /// All replicas of the service are lost: what it refuses must still be seen.
-  void a_service_without_replicas_shows_by_its_refusals() {
+  /// A service that has lost all its replicas must still be shown, with its refused requests.
+  void a_service_without_replicas_is_shown_with_its_refusals() {
     const World world;
     world.begin(kDesk).refused(ingress::RefusalReason::kNoReplica, kNow);
     const LoadView view = world.view();
@@ -133,7 +133,7 @@
     CPPUNIT_ASSERT(metrics.to_text().find("ann") == std::string::npos);
   }
 
-  void services_beyond_the_bound_get_no_metrics() {
+  void services_beyond_the_limit_get_no_metrics() {
     const World world;
     core::Metrics metrics;
     LoadMetrics published(metrics);
--- a/tests/unit/node/node_incarnation_test.cpp
+++ b/tests/unit/node/node_incarnation_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A process has one life, whatever time passes while it is made.
+/// A process uses the same run number everywhere, even if time passes during its construction.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/io_context.hpp>
@@ -12,7 +12,7 @@
 namespace stoneport::node {
 namespace {
 
-/// A clock that goes on by a millisecond with each reading, as on a slow machine.
+/// Clock that advances by a millisecond with each reading, as on a slow machine.
 class TickingTimeSource : public core::TimeSource {
  public:
   core::MonotonicTime now() const override { return clock_.now(); }
@@ -49,13 +49,13 @@
 
 class NodeIncarnationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NodeIncarnationTest);
-  CPPUNIT_TEST(the_members_do_not_take_a_new_process_for_ended);
+  CPPUNIT_TEST(members_do_not_consider_a_new_process_ended);
   CPPUNIT_TEST_SUITE_END();
 
-  /// The name came from one reading of the clock and the member record from a later one. With
-  /// a millisecond between them every other process took the holder of the term for ended and
-  /// bid for its term at once: on a day of 71 machines five terms began within 0.7 s.
-  void the_members_do_not_take_a_new_process_for_ended() {
+  /// Guards against deriving the holder name and the member record from two clock readings. If they
+  /// differ by a millisecond, every other process considers the holder of the term ended and bids
+  /// for its term at once: with 71 machines, five terms began within 0.7 s.
+  void members_do_not_consider_a_new_process_ended() {
     boost::asio::io_context context;
     support::FakeRecordStore store;
     support::FakeReplicaClient replicas;
--- a/tests/unit/node/suspect_exchange_test.cpp
+++ b/tests/unit/node/suspect_exchange_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// How many packets go out about requests under which replicas ended: bounded in a burst of ends,
-/// small while nothing happens, none without a suspect.
+/// Number of packets about requests suspected of crashing replicas: limited in a burst of crashes,
+/// small in the steady state, and none without suspects.
 #include "node/suspect_exchange.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,7 +18,7 @@
 class SuspectExchangeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SuspectExchangeTest);
   CPPUNIT_TEST(nothing_is_sent_without_a_suspect);
-  CPPUNIT_TEST(a_burst_of_ends_is_bounded_and_told_later);
+  CPPUNIT_TEST(a_burst_of_crashes_is_rate_limited_and_refreshed_later);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::size_t kOthers = 40;
@@ -34,7 +34,7 @@
     return made;
   }
 
-  /// Keeps what is sent; each packet must fit a frame.
+  /// Records sent packets; each must fit into a frame.
   class Network : public controllers::GossipTransport {
    public:
     void send(const controllers::OutgoingPacket& packet) override {
@@ -45,14 +45,14 @@
       if (report != nullptr) {
         ++packets;
         for (const wire::SuspectNotice& notice : report->suspects) {
-          told.insert(notice.content);
+          reported.insert(notice.content);
         }
       }
     }
     void set_receiver(Receiver receiver) override { receive = std::move(receiver); }
 
     std::size_t packets = 0;
-    std::set<core::RequestFingerprint> told;
+    std::set<core::RequestFingerprint> reported;
     Receiver receive;
   };
 
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.network.packets);
   }
 
-  void a_burst_of_ends_is_bounded_and_told_later() {
+  void a_burst_of_crashes_is_rate_limited_and_refreshed_later() {
     World world;
     constexpr int kReplicas = 300;
     for (int index = 0; index < kReplicas; ++index) {
@@ -109,15 +109,15 @@
                             boost::asio::detached);
     }
     world.run_for(milliseconds(100));
-    // At most 20 packets at once to each of the others, whatever ended.
+    // At most 20 packets at once to each of the others, regardless of the number of crashes.
     CPPUNIT_ASSERT(world.network.packets > 0);
     CPPUNIT_ASSERT(world.network.packets <= 21 * kOthers);
-    // What the rate held back is told to one member after the other.
+    // Updates above the rate limit are sent by the refresh, to one member at a time.
     const std::size_t before = world.network.packets;
     world.run_for(milliseconds(1200));
     CPPUNIT_ASSERT_EQUAL(std::size_t{256}, world.guard.suspects().all().size());
-    CPPUNIT_ASSERT(world.network.told.size() >= 256);
-    // Two refreshes of all that is known, to one member each.
+    CPPUNIT_ASSERT(world.network.reported.size() >= 256);
+    // Two refreshes with the full state, to one member each.
     CPPUNIT_ASSERT(world.network.packets - before <= 2 * 30 + 6 * kOthers);
     std::cout << "guarantee: news of ends is bounded | " << kReplicas << " ends, " << kOthers
               << " members | " << before << " packets at once, "
--- a/tests/unit/node/suspect_rows_test.cpp
+++ b/tests/unit/node/suspect_rows_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What stands in the store of requests that are held back, and what is no row.
+/// Persistence of quarantined requests in the store, and malformed rows.
 #include "node/suspect_rows.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -16,9 +16,9 @@
 
 class SuspectRowsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SuspectRowsTest);
-  CPPUNIT_TEST(rows_read_back);
-  CPPUNIT_TEST(what_is_no_row_is_refused);
-  CPPUNIT_TEST(a_store_that_is_away_gets_the_row_later);
+  CPPUNIT_TEST(rows_survive_a_round_trip);
+  CPPUNIT_TEST(malformed_rows_are_rejected);
+  CPPUNIT_TEST(writes_are_retried_after_a_store_outage);
   CPPUNIT_TEST_SUITE_END();
 
   struct Process {
@@ -49,14 +49,14 @@
     directory.apply(std::move(changes));
   }
 
-  void rows_read_back() {
+  void rows_survive_a_round_trip() {
     const SuspectRow row{3, {core::ReplicaId("a"), core::ReplicaId("b")}, milliseconds(17)};
     const std::optional<SuspectRow> read = decode_suspect_row(encode_suspect_row(row));
     CPPUNIT_ASSERT(read.has_value());
     CPPUNIT_ASSERT(*read == row);
   }
 
-  void what_is_no_row_is_refused() {
+  void malformed_rows_are_rejected() {
     for (const char* text :
          {"", "7", "[]", "{}", R"({"generation":-1,"ended":[],"written_ms":0})",
           R"({"generation":1,"ended":"a","written_ms":0})",
@@ -65,7 +65,7 @@
     }
   }
 
-  void a_store_that_is_away_gets_the_row_later() {
+  void writes_are_retried_after_a_store_outage() {
     boost::asio::io_context context;
     support::FakeRecordStore store;
     const core::RequestFingerprint culprit("culprit");
--- a/tests/unit/node/term_region_test.cpp
+++ b/tests/unit/node/term_region_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// In which regions the jobs are to be coordinated.
+/// Regions in which jobs may be coordinated.
 #include "node/term_region.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,7 +8,7 @@
 
 class TermRegionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TermRegionTest);
-  CPPUNIT_TEST(cases);
+  CPPUNIT_TEST(coordinator_regions);
   CPPUNIT_TEST_SUITE_END();
 
   static wire::Member member(const std::string& region, wire::MemberState state,
@@ -21,7 +21,7 @@
     return made;
   }
 
-  void cases() {
+  void coordinator_regions() {
     using eligibility::RegionBinding;
     using wire::MemberState;
     const core::RegionName own("west");
--- a/tests/unit/node/zone_views_test.cpp
+++ b/tests/unit/node/zone_views_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a process tells operators of each zone.
+/// View of the zones as shown to operators.
 #include "node/zone_views.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,10 +8,10 @@
 
 class ZoneViewsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ZoneViewsTest);
-  CPPUNIT_TEST(each_zone_is_told_with_what_is_left_in_it);
+  CPPUNIT_TEST(views_show_replicas_and_calls_of_each_zone);
   CPPUNIT_TEST_SUITE_END();
 
-  void each_zone_is_told_with_what_is_left_in_it() {
+  void views_show_replicas_and_calls_of_each_zone() {
     const core::MonotonicTime now{std::chrono::seconds(100)};
     const core::ZoneName east("east");
     ingress::ReplicaDirectory directory({{east, core::RegionName("coast")}});
--- a/tests/unit/ports/guarded_table_service_test.cpp
+++ b/tests/unit/ports/guarded_table_service_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Ends of calls through the guard, by faults of the bare service.
+/// Outcomes of calls through the guard when the wrapped service fails.
 #include "ports/guarded_table_service.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -62,13 +62,13 @@
 class GuardedTableServiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GuardedTableServiceTest);
   CPPUNIT_TEST(commit_cases);
-  CPPUNIT_TEST(settles_a_row_overwritten_since);
+  CPPUNIT_TEST(confirms_a_commit_whose_row_was_overwritten);
   CPPUNIT_TEST(lost_answer_then_outage_is_unknown);
   CPPUNIT_TEST(outage_alone_is_refused);
   CPPUNIT_TEST(open_breaker_refuses_without_a_call);
   CPPUNIT_TEST(read_is_retried);
   CPPUNIT_TEST(background_leaves_the_reserves);
-  CPPUNIT_TEST(needs_a_write_id);
+  CPPUNIT_TEST(rejects_an_empty_write_id);
   CPPUNIT_TEST_SUITE_END();
 
   void commit_cases() {
@@ -91,8 +91,9 @@
     }
   }
 
-  /// The case that comparing written_by could not settle.
-  void settles_a_row_overwritten_since() {
+  /// The lost commit cannot be confirmed by comparing written_by, because another client has
+  /// overwritten the row.
+  void confirms_a_commit_whose_row_was_overwritten() {
     support::FakeTableService bare;
     core::Metrics metrics;
     GuardedTableService guard(bare, clock_, quick_settings(), 1, metrics);
@@ -109,7 +110,7 @@
     CPPUNIT_ASSERT(bare.tables.find(kKey)->written_by == core::WriteId("rival"));
   }
 
-  /// A later refusal must not turn an open outcome into "took no effect".
+  /// A refused retry must not turn an unknown outcome into "took no effect".
   void lost_answer_then_outage_is_unknown() {
     support::FakeTableService bare;
     core::Metrics metrics;
@@ -172,7 +173,7 @@
     CPPUNIT_ASSERT_EQUAL(3, reads_until_refused(guard, TablePriority::kOwnership));
   }
 
-  void needs_a_write_id() {
+  void rejects_an_empty_write_id() {
     support::FakeTableService bare;
     core::Metrics metrics;
     GuardedTableService guard(bare, clock_, quick_settings(), 1, metrics);
--- a/tests/unit/runtime/leaf_error_test.cpp
+++ b/tests/unit/runtime/leaf_error_test.cpp
@@ -1,7 +1,6 @@
 /// \file
-/// Pins why core::Result crosses co_await and a Boost.LEAF error does not
-/// (docs/design/errors.md). Should the first test fail one day with a newer
-/// Boost, the rule may be lifted.
+/// Shows why coroutines return core::Result and not Boost.LEAF errors (docs/design/errors.md). If
+/// the first test fails with a newer Boost, that rule is no longer needed.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio.hpp>
@@ -18,7 +17,7 @@
   int number = 0;
 };
 
-/// Raises its error after it was suspended, when no handler scope is active.
+/// Creates its error after a suspension, when no handler scope is active.
 asio::awaitable<leaf::result<int>> fail_after_suspension() {
   co_await asio::post(asio::use_awaitable);
   co_return leaf::new_error(Cause{7});
@@ -44,13 +43,13 @@
 
 class LeafErrorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeafErrorTest);
-  CPPUNIT_TEST(leaf_error_object_is_lost_over_co_await);
+  CPPUNIT_TEST(leaf_error_object_is_lost_across_co_await);
   CPPUNIT_TEST(leaf_error_object_arrives_within_one_synchronous_scope);
-  CPPUNIT_TEST(result_arrives_whole_over_co_await);
+  CPPUNIT_TEST(result_is_preserved_across_co_await);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void leaf_error_object_is_lost_over_co_await() {
+  void leaf_error_object_is_lost_across_co_await() {
     const auto task = []() -> asio::awaitable<int> {
       leaf::result<int> failed = co_await fail_after_suspension();
       co_return handle([&] { return std::move(failed); });
@@ -66,7 +65,7 @@
     CPPUNIT_ASSERT_EQUAL(7, run(task));
   }
 
-  void result_arrives_whole_over_co_await() {
+  void result_is_preserved_across_co_await() {
     const auto fail = []() -> asio::awaitable<core::Result<int>> {
       co_await asio::post(asio::use_awaitable);
       co_return core::make_error(core::ErrorCode::kConflict, "another revision");
--- a/tests/unit/runtime/runtime_test.cpp
+++ b/tests/unit/runtime/runtime_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Snapshots and calls between threads; meant to run under the thread sanitizer too.
+/// Snapshots and calls between threads. Also run under the thread sanitizer.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio.hpp>
@@ -16,7 +16,7 @@
 
 struct Table {
   std::uint64_t first = 0;
-  std::uint64_t second = 0;  ///< always equal to first in a whole snapshot
+  std::uint64_t second = 0;  ///< equal to first unless the snapshot is torn
 };
 
 template <class Value>
@@ -26,16 +26,16 @@
 
 class RuntimeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RuntimeTest);
-  CPPUNIT_TEST(snapshots_arrive_whole_and_in_order);
-  CPPUNIT_TEST(snapshot_is_held_while_it_is_used);
-  CPPUNIT_TEST(run_on_moves_there_and_back);
+  CPPUNIT_TEST(snapshots_arrive_untorn_and_in_order);
+  CPPUNIT_TEST(snapshot_is_kept_while_in_use);
+  CPPUNIT_TEST(run_on_switches_threads_and_back);
   CPPUNIT_TEST(run_on_passes_errors_as_values);
   CPPUNIT_TEST(stopping_twice_is_safe);
   CPPUNIT_TEST(sleep_ends_after_its_length);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void snapshots_arrive_whole_and_in_order() {
+  void snapshots_arrive_untorn_and_in_order() {
     constexpr std::uint64_t kPublished = 1000;
     EventLoopThread control("control");
     EventLoopThread traffic_one("traffic-1");
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT(seen_two.get());
   }
 
-  void snapshot_is_held_while_it_is_used() {
+  void snapshot_is_kept_while_in_use() {
     asio::io_context context;
     SnapshotPublisher<Table> publisher;
     const auto view = publisher.subscribe(context.get_executor());
@@ -81,7 +81,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, before->first);
   }
 
-  void run_on_moves_there_and_back() {
+  void run_on_switches_threads_and_back() {
     EventLoopThread control("control");
     EventLoopThread traffic("traffic");
     control.run();
--- a/tests/unit/wire/gossip_codec_test.cpp
+++ b/tests/unit/wire/gossip_codec_test.cpp
@@ -94,12 +94,12 @@
   return bytes;
 }
 
-/// \return an encoded packet that was valid before \p damage changed its JSON form.
-std::string damaged(const std::function<void(Json&)>& damage,
-                    GossipMessage message = StateUpdate{}) {
+/// \return an encoded packet that was valid before \p corrupt changed its JSON form.
+std::string corrupted(const std::function<void(Json&)>& corrupt,
+                      GossipMessage message = StateUpdate{}) {
   const std::string bytes = encode_packet(full_packet(std::move(message)));
   Json json = Json::from_cbor(bytes);
-  damage(json);
+  corrupt(json);
   return to_cbor(json);
 }
 
@@ -111,11 +111,11 @@
 class GossipCodecTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GossipCodecTest);
   CPPUNIT_TEST(every_message_survives_a_round_trip);
-  CPPUNIT_TEST(sizes_are_those_of_the_encoding);
+  CPPUNIT_TEST(computed_sizes_match_the_encoding);
   CPPUNIT_TEST(malformed_packets_are_errors);
   CPPUNIT_TEST(a_long_packet_is_too_large);
-  CPPUNIT_TEST(every_cut_is_an_error);
-  CPPUNIT_TEST(random_bytes_and_random_damage_never_crash);
+  CPPUNIT_TEST(every_truncation_is_an_error);
+  CPPUNIT_TEST(random_bytes_and_corruption_never_crash);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -137,7 +137,7 @@
     return encode_packet(packet).size() - before;
   }
 
-  void sizes_are_those_of_the_encoding() {
+  void computed_sizes_match_the_encoding() {
     for (const GossipMessage& message : all_messages()) {
       GossipPacket packet;
       packet.sender = full_member();
@@ -181,63 +181,63 @@
         {"an absurd text length", std::string("\x7b\xff\xff\xff\xff\xff\xff\xff\xff", 9)},
         {"deep nesting", std::string(kMaxPacketBytes, '\x81')},
         {"trailing bytes", encode_packet(full_packet(StateUpdate{})) + "x"},
-        {"too few elements", damaged([](Json& packet) { packet.erase(4); })},
-        {"too many elements", damaged([](Json& packet) { packet.push_back(1); })},
-        {"another version", damaged([](Json& packet) { packet[0] = 2; })},
-        {"a negative version", damaged([](Json& packet) { packet[0] = -1; })},
-        {"a sender of another kind", damaged([](Json& packet) { packet[1] = "node"; })},
-        {"an empty node name", damaged([](Json& packet) { packet[1][0] = ""; })},
-        {"a long node name", damaged([&](Json& packet) { packet[1][0] = long_name; })},
-        {"a node name of invalid UTF-8", damaged([](Json& packet) { packet[1][0] = "\xff"; })},
-        {"a negative incarnation", damaged([](Json& packet) { packet[1][1] = -5; })},
-        {"a fractional incarnation", damaged([](Json& packet) { packet[1][1] = 1.5; })},
-        {"an unknown state", damaged([](Json& packet) { packet[1][2] = 4; })},
-        {"leaving without its mark", damaged([](Json& packet) { packet[1][3] = 0; })},
-        {"a mark of another kind", damaged([](Json& packet) { packet[1][3] = true; })},
-        {"a port out of range", damaged([](Json& packet) { packet[1][7] = 65536; })},
-        {"a null address", damaged([](Json& packet) { packet[1][6] = nullptr; })},
-        {"a message of no kind", damaged([](Json& packet) { packet[2] = Json::array(); })},
-        {"a message of unknown kind", damaged([](Json& packet) { packet[2][0] = 9; })},
-        {"news in place of suspects", damaged([](Json& packet) { packet[2][0] = 7; })},
-        {"news in place of findings", damaged([](Json& packet) { packet[2][0] = 8; })},
+        {"too few elements", corrupted([](Json& packet) { packet.erase(4); })},
+        {"too many elements", corrupted([](Json& packet) { packet.push_back(1); })},
+        {"another version", corrupted([](Json& packet) { packet[0] = 2; })},
+        {"a negative version", corrupted([](Json& packet) { packet[0] = -1; })},
+        {"a sender of another kind", corrupted([](Json& packet) { packet[1] = "node"; })},
+        {"an empty node name", corrupted([](Json& packet) { packet[1][0] = ""; })},
+        {"a long node name", corrupted([&](Json& packet) { packet[1][0] = long_name; })},
+        {"a node name of invalid UTF-8", corrupted([](Json& packet) { packet[1][0] = "\xff"; })},
+        {"a negative incarnation", corrupted([](Json& packet) { packet[1][1] = -5; })},
+        {"a fractional incarnation", corrupted([](Json& packet) { packet[1][1] = 1.5; })},
+        {"an unknown state", corrupted([](Json& packet) { packet[1][2] = 4; })},
+        {"leaving without its mark", corrupted([](Json& packet) { packet[1][3] = 0; })},
+        {"a mark of another kind", corrupted([](Json& packet) { packet[1][3] = true; })},
+        {"a port out of range", corrupted([](Json& packet) { packet[1][7] = 65536; })},
+        {"a null address", corrupted([](Json& packet) { packet[1][6] = nullptr; })},
+        {"a message of no kind", corrupted([](Json& packet) { packet[2] = Json::array(); })},
+        {"a message of unknown kind", corrupted([](Json& packet) { packet[2][0] = 9; })},
+        {"news in place of suspects", corrupted([](Json& packet) { packet[2][0] = 7; })},
+        {"news in place of findings", corrupted([](Json& packet) { packet[2][0] = 8; })},
         {"a message of a later version",
-         damaged([](Json& packet) { packet[2][0] = 9; }, health_report())},
-        {"news with more", damaged([](Json& packet) { packet[2].push_back(1); })},
-        {"members that are no list", damaged([](Json& packet) { packet[3] = 1; })},
-        {"a broken member", damaged([](Json& packet) { packet[3][1].erase(0); })},
-        {"a broken policy", damaged([](Json& packet) { packet[4][0][1] = "4"; })},
-        {"a broken drain mark", damaged([](Json& packet) { packet[5][0][0] = 1; })},
-        {"a broken revision", damaged([](Json& packet) { packet[6][0][1][0] = -1; })},
-        {"a broken zone notice", damaged([](Json& packet) { packet[7][0][2] = 2; })},
-        {"an empty zone", damaged([](Json& packet) { packet[7][0][0] = ""; })},
-        {"an empty list of zone notices", damaged([](Json& packet) { packet[7].clear(); })},
-        {"a wide sequence", damaged([](Json& packet) { packet[2][1] = std::uint64_t{1} << 32; },
-                                    Ping{1, core::NodeId("node-2")})},
+         corrupted([](Json& packet) { packet[2][0] = 9; }, health_report())},
+        {"news with more", corrupted([](Json& packet) { packet[2].push_back(1); })},
+        {"members that are no list", corrupted([](Json& packet) { packet[3] = 1; })},
+        {"a broken member", corrupted([](Json& packet) { packet[3][1].erase(0); })},
+        {"a broken policy", corrupted([](Json& packet) { packet[4][0][1] = "4"; })},
+        {"a broken drain mark", corrupted([](Json& packet) { packet[5][0][0] = 1; })},
+        {"a broken revision", corrupted([](Json& packet) { packet[6][0][1][0] = -1; })},
+        {"a broken zone notice", corrupted([](Json& packet) { packet[7][0][2] = 2; })},
+        {"an empty zone", corrupted([](Json& packet) { packet[7][0][0] = ""; })},
+        {"an empty list of zone notices", corrupted([](Json& packet) { packet[7].clear(); })},
+        {"a wide sequence", corrupted([](Json& packet) { packet[2][1] = std::uint64_t{1} << 32; },
+                                      Ping{1, core::NodeId("node-2")})},
         {"hashes that are text",
-         damaged([](Json& packet) { packet[2][1][0] = "1"; }, SyncRequest{{1, 2}, false})},
-        {"an empty replica", damaged([](Json& packet) { packet[2][1][0] = ""; },
-                                     DigestSubscription{{core::ReplicaId("engine-1")}})},
+         corrupted([](Json& packet) { packet[2][1][0] = "1"; }, SyncRequest{{1, 2}, false})},
+        {"an empty replica", corrupted([](Json& packet) { packet[2][1][0] = ""; },
+                                       DigestSubscription{{core::ReplicaId("engine-1")}})},
         {"unknown flags",
-         damaged([](Json& packet) { packet[2][1][0][3] = 8; }, DigestPush{{full_report()}})},
+         corrupted([](Json& packet) { packet[2][1][0][3] = 8; }, DigestPush{{full_report()}})},
         {"a ratio above one",
-         damaged([](Json& packet) { packet[2][1][0][8] = 1001; }, DigestPush{{full_report()}})},
+         corrupted([](Json& packet) { packet[2][1][0][8] = 1001; }, DigestPush{{full_report()}})},
         {"suspect with replicas that are no list",
-         damaged([](Json& packet) { packet[2][1][0][2] = "desk-2"; }, suspect_report())},
+         corrupted([](Json& packet) { packet[2][1][0][2] = "desk-2"; }, suspect_report())},
         {"run of a suspect in no phase",
-         damaged([](Json& packet) { packet[2][2][0][3] = 3; }, suspect_report())},
+         corrupted([](Json& packet) { packet[2][2][0][3] = 3; }, suspect_report())},
         {"a finding of no kind",
-         damaged([](Json& packet) { packet[2][1][0][1] = 3; }, health_report())},
+         corrupted([](Json& packet) { packet[2][1][0][1] = 3; }, health_report())},
         {"a finding about no replica",
-         damaged([](Json& packet) { packet[2][1][1][0] = ""; }, health_report())},
+         corrupted([](Json& packet) { packet[2][1][1][0] = ""; }, health_report())},
         {"a finding with a wide age",
-         damaged([](Json& packet) { packet[2][1][0][2] = std::uint64_t{1} << 32; },
-                 health_report())},
+         corrupted([](Json& packet) { packet[2][1][0][2] = std::uint64_t{1} << 32; },
+                   health_report())},
         {"a finding with more",
-         damaged([](Json& packet) { packet[2][1][0].push_back(1); }, health_report())},
+         corrupted([](Json& packet) { packet[2][1][0].push_back(1); }, health_report())},
         {"findings that are no list",
-         damaged([](Json& packet) { packet[2][1] = "desk-2"; }, health_report())},
-        {"prefixes that are text",
-         damaged([](Json& packet) { packet[2][1][0][11] = "none"; }, DigestPush{{full_report()}})},
+         corrupted([](Json& packet) { packet[2][1] = "desk-2"; }, health_report())},
+        {"prefixes that are text", corrupted([](Json& packet) { packet[2][1][0][11] = "none"; },
+                                             DigestPush{{full_report()}})},
     };
     for (const MalformedCase& one : cases) {
       const auto decoded = decode_packet(one.bytes);
@@ -252,7 +252,7 @@
     CPPUNIT_ASSERT(decoded.error().code == core::ErrorCode::kTooLarge);
   }
 
-  void every_cut_is_an_error() {
+  void every_truncation_is_an_error() {
     for (const GossipMessage& message : all_messages()) {
       const std::string bytes = encode_packet(full_packet(message));
       for (std::size_t length = 0; length < bytes.size(); ++length) {
@@ -261,7 +261,7 @@
     }
   }
 
-  void random_bytes_and_random_damage_never_crash() {
+  void random_bytes_and_corruption_never_crash() {
     core::RandomSource random(5);
     const std::vector<GossipMessage> messages = all_messages();
     constexpr int kTrials = 20'000;
@@ -279,7 +279,7 @@
       }
       const auto decoded = decode_packet(bytes);
       if (decoded) {
-        // A damaged packet that is still valid must survive a round trip.
+        // A corrupted packet that is still valid must survive a round trip.
         const auto again = decode_packet(encode_packet(*decoded));
         CPPUNIT_ASSERT(again.has_value());
         CPPUNIT_ASSERT(*again == *decoded);
--- a/tests/unit/wire/member_test.cpp
+++ b/tests/unit/wire/member_test.cpp
@@ -32,12 +32,12 @@
 
 class MemberTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MemberTest);
-  CPPUNIT_TEST(merges_by_table);
+  CPPUNIT_TEST(merge_cases);
   CPPUNIT_TEST(merging_is_commutative_associative_and_idempotent);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void merges_by_table() {
+  void merge_cases() {
     using enum MemberState;
     const std::vector<MergeCase> cases = {
         {"suspicion beats the same incarnation", make_member(1, 0, kAlive, false),
