--- a/src/fleet/replica_scaler.cpp
+++ b/src/fleet/replica_scaler.cpp
@@ -41,8 +41,9 @@
       wanted_(inputs_.metrics.gauge("stoneport_spot_replicas_wanted",
                                     "Desired number of spot replicas")) {}
 
-std::string ReplicaScaler::name_of(const ServiceZone& target) {
-  return "scale" + (kSeparator + target.service.value()) + (kSeparator + target.zone.value());
+std::string ReplicaScaler::name_of(const ServiceZone& service_zone) {
+  return "scale" + (kSeparator + service_zone.service.value()) +
+         (kSeparator + service_zone.zone.value());
 }
 
 void ReplicaScaler::start() {
@@ -79,9 +80,9 @@
       core::log_decision(core::DecisionEvent::kRowUndecodable, {{"key", record.key}});
       continue;
     }
-    const ServiceZone target{core::ServiceName(record.key.substr(0, separator)),
-                             core::ZoneName(record.key.substr(separator + 1))};
-    ordered_[target].spot = *spot;
+    const ServiceZone service_zone{core::ServiceName(record.key.substr(0, separator)),
+                                   core::ZoneName(record.key.substr(separator + 1))};
+    ordered_[service_zone].spot = *spot;
   }
   resume_plans();
   co_return true;
@@ -95,8 +96,8 @@
 /// needed them are still late, and returning and reordering replicas would waste their boot time.
 void ReplicaScaler::resume_plans() {
   std::map<core::ServiceName, std::uint32_t> spot;
-  for (const auto& [target, ordered] : ordered_) {
-    spot[target.service] += ordered.spot;
+  for (const auto& [service_zone, ordered] : ordered_) {
+    spot[service_zone.service] += ordered.spot;
   }
   for (const auto& [service, count] : spot) {
     if (count == 0) {
@@ -159,62 +160,62 @@
         plan_of(service).decide(inputs_.time.now(), demand_of(service), fleet_of(service), limits);
     for (const auto& [zone, spot] : counts) {
       wanted += spot;
-      ServiceZone target{service, zone};
-      co_await set_order(std::move(target), spot);
+      ServiceZone service_zone{service, zone};
+      co_await set_order(std::move(service_zone), spot);
     }
   }
   wanted_.Set(wanted);
 }
 
-asio::awaitable<void> ReplicaScaler::set_order(ServiceZone target, std::uint32_t spot) {
-  const auto known = ordered_.find(target);
+asio::awaitable<void> ReplicaScaler::set_order(ServiceZone service_zone, std::uint32_t spot) {
+  const auto known = ordered_.find(service_zone);
   const OrderState ordered = known == ordered_.end() ? OrderState() : known->second;
   const bool never_ordered = known == ordered_.end() && spot == 0;
   const bool holds = never_ordered || (ordered.spot == spot && ordered.is_accepted);
-  const std::string name = name_of(target);
+  const std::string name = name_of(service_zone);
   if (holds || stopped_ || inputs_.time.now() < ordered.retry_at || !fence_.is_open(name)) {
     co_return;
   }
-  const bool is_recorded = co_await record_order(target, spot);
+  const bool is_recorded = co_await record_order(service_zone, spot);
   if (is_recorded) {
-    co_await send(std::move(target), spot);
+    co_await send(std::move(service_zone), spot);
   }
 }
 
-asio::awaitable<bool> ReplicaScaler::record_order(ServiceZone target, std::uint32_t spot) {
+asio::awaitable<bool> ReplicaScaler::record_order(ServiceZone service_zone, std::uint32_t spot) {
   ports::RecordTransaction transaction = fence_.transaction();
-  const std::string key = target.service.value() + kSeparator + target.zone.value();
+  const std::string key = service_zone.service.value() + kSeparator + service_zone.zone.value();
   transaction.writes.push_back({std::string(kScaleTable), key, std::to_string(spot)});
-  transaction.writes.push_back(fence_.announcement(name_of(target)));
+  transaction.writes.push_back(fence_.announcement(name_of(service_zone)));
   const core::MonotonicTime sent_at = inputs_.time.now();
   const core::Result<core::Revision> committed =
       co_await inputs_.store.commit(std::move(transaction), settings_.write_timeout);
   if (!committed) {
     co_return false;
   }
-  OrderState& ordered = ordered_[target];
+  OrderState& ordered = ordered_[service_zone];
   ordered.spot = spot;
   ordered.is_accepted = false;
-  fence_.on_announced(name_of(target), sent_at);
+  fence_.on_announced(name_of(service_zone), sent_at);
   co_return true;
 }
 
-asio::awaitable<void> ReplicaScaler::send(ServiceZone target, std::uint32_t spot) {
-  if (stopped_ || !fence_.may_call(name_of(target))) {
+asio::awaitable<void> ReplicaScaler::send(ServiceZone service_zone, std::uint32_t spot) {
+  if (stopped_ || !fence_.may_call(name_of(service_zone))) {
     co_return;
   }
   ports::DutyHolder holder{settings_.holder, fence_.context().term.epoch};
-  ports::ReplicaOrder order{target.service, target.zone, spot, true};
+  ports::ReplicaOrder order{service_zone.service, service_zone.zone, spot, true};
   const core::Result<void> taken = co_await inputs_.platform.order_replicas(
       std::move(holder), std::move(order), settings_.call_timeout);
   core::log_decision(core::DecisionEvent::kReplicasOrdered,
-                     {{"service", target.service.value()},
-                      {"zone", target.zone.value()},
+                     {{"service", service_zone.service.value()},
+                      {"zone", service_zone.zone.value()},
                       {"spot", spot},
                       {"epoch", fence_.context().term.epoch.value()},
                       {"taken", taken.has_value()},
                       {"reason", taken ? std::string() : taken.error().message}});
-  OrderState& ordered = ordered_[target];
+  OrderState& ordered = ordered_[service_zone];
   ordered.is_accepted = taken.has_value();
   if (taken) {
     orders_.Increment();
--- a/src/fleet/replica_scaler.hpp
+++ b/src/fleet/replica_scaler.hpp
@@ -63,15 +63,15 @@
   boost::asio::awaitable<bool> load_orders();
   void resume_plans();
   boost::asio::awaitable<void> evaluate();
-  boost::asio::awaitable<void> set_order(ServiceZone target, std::uint32_t spot);
+  boost::asio::awaitable<void> set_order(ServiceZone service_zone, std::uint32_t spot);
   /// Writes the order and its announcement to the store.
-  boost::asio::awaitable<bool> record_order(ServiceZone target, std::uint32_t spot);
-  boost::asio::awaitable<void> send(ServiceZone target, std::uint32_t spot);
+  boost::asio::awaitable<bool> record_order(ServiceZone service_zone, std::uint32_t spot);
+  boost::asio::awaitable<void> send(ServiceZone service_zone, std::uint32_t spot);
   scaling::Fleet fleet_of(const core::ServiceName& service) const;
   scaling::Demand demand_of(const core::ServiceName& service) const;
   scaling::SpotPlan& plan_of(const core::ServiceName& service);
   std::set<core::ServiceName> scaled_services() const;
-  static std::string name_of(const ServiceZone& target);
+  static std::string name_of(const ServiceZone& service_zone);
 
   Inputs inputs_;
   ReplicaScalerSettings settings_;
