--- a/src/ports/engine_codec.cpp
+++ b/src/ports/engine_codec.cpp
@@ -60,7 +60,7 @@
       return known;
     }
   }
-  fields.reject("role", "mixed, prefill or decode is expected");
+  fields.reject("role", "expected mixed, prefill or decode");
   return EngineRole::kMixed;
 }
 
@@ -73,7 +73,7 @@
     return FinishReason::kLength;
   }
   if (reason != "cancelled") {
-    fields.reject("finish_reason", "stop, length or cancelled is expected");
+    fields.reject("finish_reason", "expected stop, length or cancelled");
   }
   return FinishReason::kCancelled;
 }
@@ -90,7 +90,7 @@
   constexpr double kLongestMilliseconds = 1e12;
   const double milliseconds = fields.number(field);
   if (!(milliseconds >= 0 && milliseconds <= kLongestMilliseconds)) {
-    fields.reject(field, "the number is out of range");
+    fields.reject(field, "number out of range");
     return {};
   }
   return core::from_seconds(milliseconds / 1000);
@@ -99,7 +99,7 @@
 std::uint64_t decode_decimal(const JsonFields& fields, const char* field) {
   const auto value = core::parse_number<std::uint64_t>(fields.text(field));
   if (!value) {
-    fields.reject(field, "a decimal number in a string is expected");
+    fields.reject(field, "expected a string with a decimal number");
   }
   return value.value_or(0);
 }
@@ -218,20 +218,20 @@
 core::Result<StreamItem> StreamEventParser::parse(const std::string& data) {
   return decode_json(data, [this](const JsonFields& fields) -> StreamItem {
     if (fields.text("stream_id") != stream_.value()) {
-      fields.reject("stream_id", "an event of another stream");
+      fields.reject("stream_id", "event of another stream");
     }
     if (fields.has("finish_reason")) {
       StreamEnd end;
       end.reason = decode_finish_reason(fields);
       end.token_count = fields.unsigned64("token_count");
       if (end.token_count != next_offset_) {
-        fields.reject("token_count", "the total differs from the tokens received");
+        fields.reject("token_count", "total differs from the number of received tokens");
       }
       return end;
     }
     TokenChunk chunk = decode_chunk(fields);
     if (chunk.offset != next_offset_) {
-      fields.reject("offset", "the next token of the stream is expected");
+      fields.reject("offset", "expected the offset of the next token");
     }
     next_offset_ += chunk.token_count;
     return chunk;
--- a/src/ports/guarded_table_service.cpp
+++ b/src/ports/guarded_table_service.cpp
@@ -265,7 +265,7 @@
 boost::asio::awaitable<core::Result<core::Revision>> GuardedTableService::commit(
     Transaction transaction, TablePriority priority) {
   if (transaction.write_id.empty()) {
-    co_return core::make_error(ErrorCode::kInvalidArgument, "a transaction needs a write id");
+    co_return core::make_error(ErrorCode::kInvalidArgument, "transaction has no write id");
   }
   Attempts attempts(priority, time_.now() + deadline_of(priority));
   bool may_have_committed = false;
--- a/src/ports/http_machine_list.cpp
+++ b/src/ports/http_machine_list.cpp
@@ -11,7 +11,7 @@
 std::string decode_id(const JsonFields& fields) {
   std::string id = fields.text("id");
   if (id.empty() || id.size() > kMaxIdBytes) {
-    fields.reject("id", "1 to 128 bytes are expected");
+    fields.reject("id", "expected 1 to 128 bytes");
   }
   return id;
 }
@@ -25,7 +25,7 @@
     return MachineRole::kEngine;
   }
   if (role != "service") {
-    fields.reject("role", "node, engine or service is expected");
+    fields.reject("role", "expected node, engine or service");
   }
   return MachineRole::kService;
 }
@@ -33,7 +33,7 @@
 MachineState decode_state(const JsonFields& fields) {
   const std::string state = fields.text("state");
   if (state != "live" && state != "leaving") {
-    fields.reject("state", "live or leaving is expected");
+    fields.reject("state", "expected live or leaving");
   }
   return state == "live" ? MachineState::kLive : MachineState::kLeaving;
 }
@@ -41,7 +41,7 @@
 std::uint16_t decode_port(const JsonFields& fields) {
   const std::uint64_t port = fields.unsigned64("port");
   if (port == 0 || port > std::numeric_limits<std::uint16_t>::max()) {
-    fields.reject("port", "a port number is expected");
+    fields.reject("port", "expected a port number");
     return 0;
   }
   return static_cast<std::uint16_t>(port);
--- a/src/ports/http_table_service.cpp
+++ b/src/ports/http_table_service.cpp
@@ -23,7 +23,7 @@
   return decode_json(body, [&key](const JsonFields& fields) {
     Row row = decode_row(key.table, fields);
     if (row.key != key) {
-      fields.reject("key", "the row asked for is expected");
+      fields.reject("key", "row differs from the requested one");
     }
     return row;
   });
--- a/src/ports/json_fields.cpp
+++ b/src/ports/json_fields.cpp
@@ -33,7 +33,7 @@
 std::string JsonFields::text(std::string_view field) const {
   const json* value = find(field);
   if (value == nullptr || !value->is_string()) {
-    reject(field, "a string is expected");
+    reject(field, "expected a string");
     return {};
   }
   return value->get_ref<const std::string&>();
@@ -42,7 +42,7 @@
 double JsonFields::number(std::string_view field) const {
   const json* value = find(field);
   if (value == nullptr || !value->is_number()) {
-    reject(field, "a number is expected");
+    reject(field, "expected a number");
     return 0;
   }
   return value->get<double>();
@@ -51,7 +51,7 @@
 bool JsonFields::flag(std::string_view field) const {
   const json* value = find(field);
   if (value == nullptr || !value->is_boolean()) {
-    reject(field, "true or false is expected");
+    reject(field, "expected a boolean");
     return false;
   }
   return value->get<bool>();
@@ -60,7 +60,7 @@
 std::uint64_t JsonFields::unsigned64(std::string_view field) const {
   const json* value = find(field);
   if (value == nullptr || !value->is_number_unsigned()) {
-    reject(field, "a whole number not below zero is expected");
+    reject(field, "expected a non-negative integer");
     return 0;
   }
   return value->get<std::uint64_t>();
@@ -69,7 +69,7 @@
 std::uint32_t JsonFields::unsigned32(std::string_view field) const {
   const std::uint64_t value = unsigned64(field);
   if (value > std::numeric_limits<std::uint32_t>::max()) {
-    reject(field, "the number is too large");
+    reject(field, "number out of range");
     return 0;
   }
   return static_cast<std::uint32_t>(value);
@@ -86,13 +86,13 @@
   std::vector<JsonFields> found;
   const json* value = find(field);
   if (value == nullptr || !value->is_array()) {
-    reject(field, "a list is expected");
+    reject(field, "expected an array");
     return found;
   }
   found.reserve(value->size());
   for (const json& element : *value) {
     if (!element.is_object()) {
-      reject(field, "a list of objects is expected");
+      reject(field, "expected an array of objects");
       return {};
     }
     found.emplace_back(element, *error_);
@@ -103,7 +103,7 @@
 core::Result<JsonDocument> JsonDocument::parse(std::string_view text) {
   std::optional<json> value = core::parse_json(text);
   if (!value || !value->is_object()) {
-    return fault("a JSON object is expected");
+    return fault("expected a JSON object");
   }
   JsonDocument document;
   document.value_ = std::move(*value);
@@ -121,7 +121,7 @@
   try {
     return value.dump();
   } catch (const json::exception&) {
-    return core::make_error(core::ErrorCode::kInvalidArgument, "a string is not UTF-8");
+    return core::make_error(core::ErrorCode::kInvalidArgument, "string is not valid UTF-8");
   }
 }
 
--- a/tests/unit/node/caller_directory_test.cpp
+++ b/tests/unit/node/caller_directory_test.cpp
@@ -68,13 +68,13 @@
         {"enough in the zone", {{"w1", 3}, {"w2", 9}, {"e1", 9}}, {}, "w1 "},
         {"few in the zone", {{"w1", 2}, {"w2", 9}, {"e1", 9}}, {}, "w1 w2 "},
         {"few in the region", {{"w1", 1}, {"w2", 1}, {"e1", 9}}, {}, "w1 w2 e1 "},
-        {"none near", {{"e1", 9}}, {}, "e1 "},
+        {"none nearby", {{"e1", 9}}, {}, "e1 "},
         {"allowed regions before others", {{"w1", 1}, {"e1", 9}, {"n1", 9}}, {east}, "w1 e1 "},
         {"allowed regions only, though few", {{"e1", 1}, {"n1", 9}}, {east}, "e1 "},
-        {"own region though no home", {{"w2", 1}, {"n1", 9}}, {east}, "w2 "},
-        {"neither is in touch", {{"n1", 4}}, {east}, "n1 "},
-        {"the own region is a home", {{"w1", 2}, {"n1", 9}}, {west}, "w1 "},
-        {"nobody", {}, {east}, ""},
+        {"own region, though not allowed", {{"w2", 1}, {"n1", 9}}, {east}, "w2 "},
+        {"only others", {{"n1", 4}}, {east}, "n1 "},
+        {"the own region is allowed", {{"w1", 2}, {"n1", 9}}, {west}, "w1 "},
+        {"no members", {}, {east}, ""},
     };
     for (const Case& one : cases) {
       core::RandomSource random(1);
--- a/tests/unit/node/holder_liveness_test.cpp
+++ b/tests/unit/node/holder_liveness_test.cpp
@@ -33,7 +33,7 @@
         {"alive", "n#7", 7, MemberState::kAlive, HolderSign::kUnknown},
         {"suspect", "n#7", 7, MemberState::kSuspect, HolderSign::kSuspect},
         {"dead", "n#7", 7, MemberState::kDead, HolderSign::kSuspect},
-        {"started anew", "n#7", 8, MemberState::kAlive, HolderSign::kEnded},
+        {"restarted", "n#7", 8, MemberState::kAlive, HolderSign::kEnded},
         // A holder that has just restarted, of which only the previous run is known here, must not
         // count as ended: other processes bid for its term.
         {"only an earlier life is known", "n#7", 6, MemberState::kAlive, HolderSign::kUnknown},
--- a/tests/unit/node/isolation_test.cpp
+++ b/tests/unit/node/isolation_test.cpp
@@ -36,14 +36,14 @@
       bool expected;
     };
     const Case cases[] = {
-        {"all is well", {self, alive}, {}, true, false},
-        {"the store is away for all", {self, alive, dead}, long_silence, true, false},
-        {"the members are away, the store serves", {self, suspect, dead}, {}, true, false},
-        {"cut off", {self, suspect, dead}, long_silence, true, true},
-        {"cut off among those that leave", {self, leaving, dead}, long_silence, true, true},
-        {"the only process there is", {self}, long_silence, true, false},
-        {"cut off, which the list does not show yet", {self, alive}, long_silence, false, true},
-        {"the members are out of reach, the store serves", {self, alive}, {}, false, false},
+        {"no fault", {self, alive}, {}, true, false},
+        {"the store is down for all", {self, alive, dead}, long_silence, true, false},
+        {"no live members, but the store serves", {self, suspect, dead}, {}, true, false},
+        {"isolated", {self, suspect, dead}, long_silence, true, true},
+        {"isolated, the rest is leaving", {self, leaving, dead}, long_silence, true, true},
+        {"the only process", {self}, long_silence, true, false},
+        {"isolated, not detected by the members yet", {self, alive}, long_silence, false, true},
+        {"members do not answer, but the store serves", {self, alive}, {}, false, false},
     };
     for (const Case& one : cases) {
       wire::MemberMap members;
--- a/tests/unit/node/term_region_test.cpp
+++ b/tests/unit/node/term_region_test.cpp
@@ -34,14 +34,14 @@
       bool expected;
     };
     const Case cases[] = {
-        {"nothing binds", {}, member("east", MemberState::kAlive), false},
+        {"no binding", {}, member("east", MemberState::kAlive), false},
         {"the own region is allowed",
          {{own, east}, {}},
          member("east", MemberState::kAlive),
          false},
         {"another is alive there", bound_east, member("east", MemberState::kAlive), true},
-        {"another leaves there", bound_east, member("east", MemberState::kAlive, true), false},
-        {"another is in doubt there", bound_east, member("east", MemberState::kSuspect), false},
+        {"another is leaving there", bound_east, member("east", MemberState::kAlive, true), false},
+        {"another is suspect there", bound_east, member("east", MemberState::kSuspect), false},
         {"nobody is there", bound_east, member("north", MemberState::kAlive), false},
         {"nothing in common", {{east}, {own}}, member("east", MemberState::kAlive), false},
     };
