--- a/src/node/holder_sign.cpp
+++ b/src/node/holder_liveness.cpp
@@ -1,4 +1,4 @@
-#include "node/holder_sign.hpp"
+#include "node/holder_liveness.hpp"
 
 #include "core/numbers.hpp"
 
@@ -11,7 +11,7 @@
   return node.value() + kSeparator + std::to_string(life);
 }
 
-jobs::HolderSign holder_sign(const std::string& holder, const wire::MemberMap& members) {
+jobs::HolderSign holder_liveness(const std::string& holder, const wire::MemberMap& members) {
   const std::size_t separator = holder.rfind(kSeparator);
   if (separator == std::string::npos) {
     return jobs::HolderSign::kUnknown;
@@ -28,7 +28,7 @@
   }
   const bool is_in_doubt =
       member.state == wire::MemberState::kSuspect || member.state == wire::MemberState::kDead;
-  // What is known of an earlier life says nothing of this one.
+  // A record of an earlier run says nothing about the holder's run.
   return known_life == *life && is_in_doubt ? jobs::HolderSign::kSuspect
                                             : jobs::HolderSign::kUnknown;
 }
--- a/src/ports/engine_codec.cpp
+++ b/src/ports/engine_codec.cpp
@@ -60,7 +60,7 @@
       return known;
     }
   }
-  fields.reject("role", "mixed, prefill or decode is expected");
+  fields.reject("role", "expected mixed, prefill or decode");
   return EngineRole::kMixed;
 }
 
@@ -73,13 +73,13 @@
     return FinishReason::kLength;
   }
   if (reason != "cancelled") {
-    fields.reject("finish_reason", "stop, length or cancelled is expected");
+    fields.reject("finish_reason", "expected stop, length or cancelled");
   }
   return FinishReason::kCancelled;
 }
 
 std::optional<core::WeightVersion> decode_version(const JsonFields& fields, const char* field) {
-  const auto version = fields.optional_whole(field);
+  const auto version = fields.optional_unsigned64(field);
   if (!version) {
     return std::nullopt;
   }
@@ -90,7 +90,7 @@
   constexpr double kLongestMilliseconds = 1e12;
   const double milliseconds = fields.number(field);
   if (!(milliseconds >= 0 && milliseconds <= kLongestMilliseconds)) {
-    fields.reject(field, "the number is out of range");
+    fields.reject(field, "number out of range");
     return {};
   }
   return core::from_seconds(milliseconds / 1000);
@@ -99,23 +99,23 @@
 std::uint64_t decode_decimal(const JsonFields& fields, const char* field) {
   const auto value = core::parse_number<std::uint64_t>(fields.text(field));
   if (!value) {
-    fields.reject(field, "a decimal number in a string is expected");
+    fields.reject(field, "expected a string with a decimal number");
   }
   return value.value_or(0);
 }
 
 EngineReport decode_report(const JsonFields& fields) {
   EngineReport report;
-  report.incarnation = core::Incarnation(fields.whole("incarnation"));
+  report.incarnation = core::Incarnation(fields.unsigned64("incarnation"));
   report.model = core::ModelName(fields.text("model"));
-  report.version = core::WeightVersion(fields.whole("version"));
+  report.version = core::WeightVersion(fields.unsigned64("version"));
   report.prefetched = decode_version(fields, "prefetched");
   report.role = decode_role(fields);
-  report.running = fields.whole32("running");
-  report.waiting = fields.whole32("waiting");
-  report.max_running = fields.whole32("max_running");
-  report.kv_used_tokens = fields.whole("kv_used_tokens");
-  report.kv_capacity_tokens = fields.whole("kv_capacity_tokens");
+  report.running = fields.unsigned32("running");
+  report.waiting = fields.unsigned32("waiting");
+  report.max_running = fields.unsigned32("max_running");
+  report.kv_used_tokens = fields.unsigned64("kv_used_tokens");
+  report.kv_capacity_tokens = fields.unsigned64("kv_capacity_tokens");
   report.tokens_per_second = fields.number("tokens_per_second");
   report.report_age = decode_milliseconds(fields, "report_age_ms");
   report.swapping = fields.flag("swapping");
@@ -125,11 +125,11 @@
 
 CacheEvents decode_cache_events(const JsonFields& fields) {
   CacheEvents events;
-  events.latest_sequence = fields.whole("latest_sequence");
+  events.latest_sequence = fields.unsigned64("latest_sequence");
   events.gap = fields.flag("gap");
   for (const JsonFields& element : fields.objects("events")) {
     CacheEvent event;
-    event.sequence = element.whole("sequence");
+    event.sequence = element.unsigned64("sequence");
     event.prefix_hash = decode_decimal(element, "prefix_hash");
     event.stored = element.flag("stored");
     events.events.push_back(event);
@@ -142,7 +142,7 @@
   for (const JsonFields& element : fields.objects("streams")) {
     StreamStatus status;
     status.stream = core::StreamId(element.text("stream_id"));
-    status.token_count = element.whole("token_count");
+    status.token_count = element.unsigned64("token_count");
     status.finished = element.flag("finished");
     if (element.has("finish_reason")) {
       status.finish_reason = decode_finish_reason(element);
@@ -154,8 +154,8 @@
 
 TokenChunk decode_chunk(const JsonFields& fields) {
   TokenChunk chunk;
-  chunk.offset = fields.whole("offset");
-  chunk.token_count = fields.whole32("token_count");
+  chunk.offset = fields.unsigned64("offset");
+  chunk.token_count = fields.unsigned32("token_count");
   chunk.text = fields.text("text");
   chunk.version = decode_version(fields, "version");
   return chunk;
@@ -209,8 +209,8 @@
     KvExport exported;
     exported.stream = stream;
     exported.handle = fields.text("handle");
-    exported.size_bytes = fields.whole("size_bytes");
-    exported.token_count = fields.whole("token_count");
+    exported.size_bytes = fields.unsigned64("size_bytes");
+    exported.token_count = fields.unsigned64("token_count");
     return exported;
   });
 }
@@ -218,20 +218,20 @@
 core::Result<StreamItem> StreamEventParser::parse(const std::string& data) {
   return decode_json(data, [this](const JsonFields& fields) -> StreamItem {
     if (fields.text("stream_id") != stream_.value()) {
-      fields.reject("stream_id", "an event of another stream");
+      fields.reject("stream_id", "event of another stream");
     }
     if (fields.has("finish_reason")) {
       StreamEnd end;
       end.reason = decode_finish_reason(fields);
-      end.token_count = fields.whole("token_count");
+      end.token_count = fields.unsigned64("token_count");
       if (end.token_count != next_offset_) {
-        fields.reject("token_count", "the total differs from the tokens received");
+        fields.reject("token_count", "total differs from the number of received tokens");
       }
       return end;
     }
     TokenChunk chunk = decode_chunk(fields);
     if (chunk.offset != next_offset_) {
-      fields.reject("offset", "the next token of the stream is expected");
+      fields.reject("offset", "expected the offset of the next token");
     }
     next_offset_ += chunk.token_count;
     return chunk;
--- a/src/ports/http_table_service.cpp
+++ b/src/ports/http_table_service.cpp
@@ -14,7 +14,7 @@
   Row row;
   row.key = RowKey{table, fields.text("key")};
   row.value = fields.text("value");
-  row.revision = core::Revision(fields.whole("revision"));
+  row.revision = core::Revision(fields.unsigned64("revision"));
   row.written_by = core::WriteId(fields.text("written_by"));
   return row;
 }
@@ -23,7 +23,7 @@
   return decode_json(body, [&key](const JsonFields& fields) {
     Row row = decode_row(key.table, fields);
     if (row.key != key) {
-      fields.reject("key", "the row asked for is expected");
+      fields.reject("key", "row differs from the requested one");
     }
     return row;
   });
@@ -69,10 +69,10 @@
 
 core::Result<core::Revision> parse_revision(const std::string& body) {
   auto revision = decode_json(
-      body, [](const JsonFields& fields) { return core::Revision(fields.whole("revision")); });
+      body, [](const JsonFields& fields) { return core::Revision(fields.unsigned64("revision")); });
   if (!revision) {
     return core::make_error(core::ErrorCode::kOutcomeUnknown,
-                            "unreadable answer of a commit: " + revision.error().message);
+                            "the answer to a commit cannot be parsed: " + revision.error().message);
   }
   return revision;
 }
--- a/src/wire/gossip_codec.cpp
+++ b/src/wire/gossip_codec.cpp
@@ -10,16 +10,16 @@
 
 using Json = nlohmann::json;
 
-/// Levels of arrays that a packet of this version has, with some to spare.
-constexpr int kDeepestPacket = 8;
+/// Nesting limit; higher than the depth of any packet of this version.
+constexpr int kMaxPacketDepth = 8;
 
-/// Elements of a packet; zone notices are there only when a packet has some, so that packets of
-/// ordinary times carry nothing for them.
-constexpr std::size_t kParts = 7;
-constexpr std::size_t kPartsWithZones = 8;
+/// Number of elements of a packet. The list of zone notices is present only if it is not empty, so
+/// that it costs nothing while no zone is evacuated.
+constexpr std::size_t kBasePartCount = 7;
+constexpr std::size_t kPartCountWithZones = 8;
 
 enum class MessageKind : std::uint8_t {
-  kNews,
+  kStateUpdate,
   kPing,
   kAcknowledgement,
   kIndirectPing,
@@ -30,8 +30,8 @@
   kHealthReport,
 };
 
-/// Reads the elements of one array in order. After the first error every
-/// further read gives a zero value, and ok() stays false.
+/// Reads the elements of an array in order. After the first error ok() is false and each further
+/// read returns a zero value.
 class ArrayReader {
  public:
   ArrayReader(const Json& array, std::size_t expected_size)
@@ -84,7 +84,7 @@
         static_cast<std::uint16_t>(next_unsigned(std::numeric_limits<std::uint16_t>::max()));
     return address;
   }
-  /// Reads an array of any length, each element by \p read_item.
+  /// Reads an array of any length and decodes each element with \p read_item.
   template <class Item, class ReadItem>
   std::vector<Item> next_list(ReadItem read_item) {
     std::vector<Item> items;
@@ -252,7 +252,8 @@
   for (const core::ReplicaId& replica : notice.ended) {
     ended.push_back(replica.value());
   }
-  return Json::array({notice.content.value(), notice.generation, std::move(ended), notice.left_ms});
+  return Json::array(
+      {notice.content.value(), notice.generation, std::move(ended), notice.remaining_ms});
 }
 
 bool read_suspect(const Json& json, SuspectNotice& notice) {
@@ -260,7 +261,7 @@
   notice.content = reader.next_name<core::RequestFingerprint>();
   notice.generation = reader.next_unsigned();
   notice.ended = reader.next_list<core::ReplicaId>(read_replica_id);
-  notice.left_ms = reader.next_unsigned32();
+  notice.remaining_ms = reader.next_unsigned32();
   return reader.ok();
 }
 
@@ -307,7 +308,9 @@
 }
 
 struct MessageWriter {
-  Json operator()(const News&) const { return Json::array({kind_number(MessageKind::kNews)}); }
+  Json operator()(const StateUpdate&) const {
+    return Json::array({kind_number(MessageKind::kStateUpdate)});
+  }
   Json operator()(const Ping& ping) const {
     return Json::array({kind_number(MessageKind::kPing), ping.sequence, ping.target.value()});
   }
@@ -435,8 +438,8 @@
     return false;
   }
   switch (static_cast<MessageKind>(kind)) {
-    case MessageKind::kNews:
-      message = News{};
+    case MessageKind::kStateUpdate:
+      message = StateUpdate{};
       return json.size() == 1;
     case MessageKind::kPing:
       return read_ping(json, message);
@@ -464,8 +467,8 @@
   return bytes;
 }
 
-/// Accepts a document as long as it nests no deeper than a packet may.
-class DepthCheck : public nlohmann::json_sax<Json> {
+/// SAX handler that aborts parsing when the nesting exceeds kMaxPacketDepth.
+class DepthLimiter : public nlohmann::json_sax<Json> {
  public:
   bool null() override { return true; }
   bool boolean(bool) override { return true; }
@@ -475,9 +478,9 @@
   bool string(string_t&) override { return true; }
   bool binary(binary_t&) override { return true; }
   bool key(string_t&) override { return true; }
-  bool start_object(std::size_t) override { return ++depth_ <= kDeepestPacket; }
+  bool start_object(std::size_t) override { return ++depth_ <= kMaxPacketDepth; }
   bool end_object() override { return --depth_ >= 0; }
-  bool start_array(std::size_t) override { return ++depth_ <= kDeepestPacket; }
+  bool start_array(std::size_t) override { return ++depth_ <= kMaxPacketDepth; }
   bool end_array() override { return --depth_ >= 0; }
   bool parse_error(std::size_t, const std::string&, const Json::exception&) override {
     return false;
@@ -487,11 +490,11 @@
   int depth_ = 0;
 };
 
-/// \return the parsed bytes, or a discarded value. The library descends once a
-/// level of nesting, and reports an absurd length by an exception even when
-/// exceptions are switched off.
+/// \return the parsed document, or a discarded value if \p bytes is not valid CBOR. The depth is
+/// checked first because from_cbor() recurses once per level; the exception is caught because the
+/// library throws on an impossible length even with exceptions disabled.
 Json parse_cbor(std::string_view bytes) {
-  DepthCheck check;
+  DepthLimiter check;
   if (!Json::sax_parse(bytes.begin(), bytes.end(), &check, Json::input_format_t::cbor)) {
     return Json(Json::value_t::discarded);
   }
@@ -519,16 +522,17 @@
 
 core::Result<GossipPacket> decode_packet(std::string_view bytes) {
   if (bytes.size() > kMaxPacketBytes) {
-    return core::make_error(core::ErrorCode::kTooLarge, "gossip packet is too long");
+    return core::make_error(core::ErrorCode::kTooLarge, "gossip packet exceeds the size limit");
   }
   const Json json = parse_cbor(bytes);
   if (json.is_discarded()) {
-    return core::make_error(core::ErrorCode::kProtocol, "gossip packet is not CBOR");
+    return core::make_error(core::ErrorCode::kProtocol, "gossip packet is not valid CBOR");
   }
-  const bool has_zones = json.is_array() && json.size() == kPartsWithZones;
-  ArrayReader reader(json, has_zones ? kPartsWithZones : kParts);
+  const bool has_zones = json.is_array() && json.size() == kPartCountWithZones;
+  ArrayReader reader(json, has_zones ? kPartCountWithZones : kBasePartCount);
   if (reader.next_unsigned() != kGossipProtocolVersion) {
-    return core::make_error(core::ErrorCode::kProtocol, "gossip packet of another version");
+    return core::make_error(core::ErrorCode::kProtocol,
+                            "gossip packet has an unsupported protocol version");
   }
   GossipPacket packet;
   const bool head_ok =
@@ -544,7 +548,7 @@
     }
   }
   if (!head_ok || !reader.ok()) {
-    return core::make_error(core::ErrorCode::kProtocol, "gossip packet breaks its format");
+    return core::make_error(core::ErrorCode::kProtocol, "gossip packet is malformed");
   }
   return packet;
 }
--- a/tests/unit/node/holder_sign_test.cpp
+++ b/tests/unit/node/holder_liveness_test.cpp
@@ -1,14 +1,14 @@
 /// \file
-/// What the members' list says of the term's holder.
-#include "node/holder_sign.hpp"
+/// What the membership list says about the holder of the term.
+#include "node/holder_liveness.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 namespace stoneport::node {
 
-class HolderSignTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(HolderSignTest);
-  CPPUNIT_TEST(cases);
+class HolderLivenessTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(HolderLivenessTest);
+  CPPUNIT_TEST(liveness_of_the_holder);
   CPPUNIT_TEST_SUITE_END();
 
   static wire::Member member(const std::string& node, std::uint64_t life, wire::MemberState state) {
@@ -19,7 +19,7 @@
     return made;
   }
 
-  void cases() {
+  void liveness_of_the_holder() {
     using jobs::HolderSign;
     using wire::MemberState;
     struct Case {
@@ -33,9 +33,9 @@
         {"alive", "n#7", 7, MemberState::kAlive, HolderSign::kUnknown},
         {"suspect", "n#7", 7, MemberState::kSuspect, HolderSign::kSuspect},
         {"dead", "n#7", 7, MemberState::kDead, HolderSign::kSuspect},
-        {"started anew", "n#7", 8, MemberState::kAlive, HolderSign::kEnded},
-        // A holder that has just started, known here by its life before: the bids
-        // against it on 2026-12-02 (bench/days/rolling-stop.toml).
+        {"restarted", "n#7", 8, MemberState::kAlive, HolderSign::kEnded},
+        // A holder that has just restarted, of which only the previous run is known here, must not
+        // count as ended: other processes bid for its term.
         {"only an earlier life is known", "n#7", 6, MemberState::kAlive, HolderSign::kUnknown},
         {"an earlier life is dead", "n#7", 6, MemberState::kDead, HolderSign::kUnknown},
         {"another node", "m#7", 9, MemberState::kDead, HolderSign::kUnknown},
@@ -43,11 +43,11 @@
     };
     for (const Case& one : cases) {
       const wire::MemberMap members = {{core::NodeId("n"), member("n", one.known_life, one.state)}};
-      CPPUNIT_ASSERT_MESSAGE(one.name, one.sign == holder_sign(one.holder, members));
+      CPPUNIT_ASSERT_MESSAGE(one.name, one.sign == holder_liveness(one.holder, members));
     }
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(HolderSignTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(HolderLivenessTest);
 
 }  // namespace stoneport::node
--- a/tests/unit/node/isolation_test.cpp
+++ b/tests/unit/node/isolation_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// When a process counts as cut off from all others.
+/// When a process is considered isolated.
 #include "node/isolation.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,7 +8,7 @@
 
 class IsolationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(IsolationTest);
-  CPPUNIT_TEST(a_process_is_isolated_without_store_and_members);
+  CPPUNIT_TEST(a_process_without_store_and_members_is_isolated);
   CPPUNIT_TEST_SUITE_END();
 
   static wire::Member member(const std::string& name, wire::MemberState state,
@@ -20,7 +20,7 @@
     return made;
   }
 
-  void a_process_is_isolated_without_store_and_members() {
+  void a_process_without_store_and_members_is_isolated() {
     using wire::MemberState;
     const wire::Member self = member("self", MemberState::kAlive);
     const wire::Member alive = member("a", MemberState::kAlive);
@@ -36,14 +36,14 @@
       bool expected;
     };
     const Case cases[] = {
-        {"all is well", {self, alive}, {}, true, false},
-        {"the store is away for all", {self, alive, dead}, long_silence, true, false},
-        {"the members are away, the store serves", {self, suspect, dead}, {}, true, false},
-        {"cut off", {self, suspect, dead}, long_silence, true, true},
-        {"cut off among those that leave", {self, leaving, dead}, long_silence, true, true},
-        {"the only process there is", {self}, long_silence, true, false},
-        {"cut off, which the list does not show yet", {self, alive}, long_silence, false, true},
-        {"the members are out of reach, the store serves", {self, alive}, {}, false, false},
+        {"no fault", {self, alive}, {}, true, false},
+        {"the store is down for all", {self, alive, dead}, long_silence, true, false},
+        {"no live members, but the store serves", {self, suspect, dead}, {}, true, false},
+        {"isolated", {self, suspect, dead}, long_silence, true, true},
+        {"isolated, the rest is leaving", {self, leaving, dead}, long_silence, true, true},
+        {"the only process", {self}, long_silence, true, false},
+        {"isolated, not detected by the members yet", {self, alive}, long_silence, false, true},
+        {"members do not answer, but the store serves", {self, alive}, {}, false, false},
     };
     for (const Case& one : cases) {
       wire::MemberMap members;
--- a/tests/unit/node/node_life_test.cpp
+++ b/tests/unit/node/node_incarnation_test.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// A process has one life, whatever time passes while it is made.
+/// A process uses the same run number everywhere, even if time passes during its construction.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/io_context.hpp>
 
-#include "node/holder_sign.hpp"
+#include "node/holder_liveness.hpp"
 #include "node/node.hpp"
 #include "support/fake_record_store.hpp"
 #include "support/fake_replica_client.hpp"
@@ -12,7 +12,7 @@
 namespace stoneport::node {
 namespace {
 
-/// A clock that goes on by a millisecond with each reading, as on a slow machine.
+/// Clock that advances by a millisecond with each reading, as on a slow machine.
 class TickingTimeSource : public core::TimeSource {
  public:
   core::MonotonicTime now() const override { return clock_.now(); }
@@ -47,15 +47,15 @@
 
 }  // namespace
 
-class NodeLifeTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(NodeLifeTest);
-  CPPUNIT_TEST(the_members_do_not_take_a_new_process_for_ended);
+class NodeIncarnationTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(NodeIncarnationTest);
+  CPPUNIT_TEST(members_do_not_consider_a_new_process_ended);
   CPPUNIT_TEST_SUITE_END();
 
-  /// The name came from one reading of the clock and the member record from a later one. With
-  /// a millisecond between them every other process took the holder of the term for ended and
-  /// bid for its term at once: on a day of 71 machines five terms began within 0.7 s.
-  void the_members_do_not_take_a_new_process_for_ended() {
+  /// Guards against deriving the holder name and the member record from two clock readings. If they
+  /// differ by a millisecond, every other process considers the holder of the term ended and bids
+  /// for its term at once: with 71 machines, five terms began within 0.7 s.
+  void members_do_not_consider_a_new_process_ended() {
     boost::asio::io_context context;
     support::FakeRecordStore store;
     support::FakeReplicaClient replicas;
@@ -68,10 +68,10 @@
     const Node node({context.get_executor(), store, replicas, parser, time, metrics, duties},
                     settings);
     CPPUNIT_ASSERT(!node.members().empty());
-    CPPUNIT_ASSERT(holder_sign(node.life(), node.members()) == jobs::HolderSign::kUnknown);
+    CPPUNIT_ASSERT(holder_liveness(node.life(), node.members()) == jobs::HolderSign::kUnknown);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NodeLifeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(NodeIncarnationTest);
 
 }  // namespace stoneport::node
--- a/tests/unit/node/term_region_test.cpp
+++ b/tests/unit/node/term_region_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// In which regions the jobs are to be coordinated.
+/// Regions in which jobs may be coordinated.
 #include "node/term_region.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,7 +8,7 @@
 
 class TermRegionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TermRegionTest);
-  CPPUNIT_TEST(cases);
+  CPPUNIT_TEST(coordinator_regions);
   CPPUNIT_TEST_SUITE_END();
 
   static wire::Member member(const std::string& region, wire::MemberState state,
@@ -21,7 +21,7 @@
     return made;
   }
 
-  void cases() {
+  void coordinator_regions() {
     using eligibility::RegionBinding;
     using wire::MemberState;
     const core::RegionName own("west");
@@ -34,14 +34,14 @@
       bool expected;
     };
     const Case cases[] = {
-        {"nothing binds", {}, member("east", MemberState::kAlive), false},
+        {"no binding", {}, member("east", MemberState::kAlive), false},
         {"the own region is allowed",
          {{own, east}, {}},
          member("east", MemberState::kAlive),
          false},
         {"another is alive there", bound_east, member("east", MemberState::kAlive), true},
-        {"another leaves there", bound_east, member("east", MemberState::kAlive, true), false},
-        {"another is in doubt there", bound_east, member("east", MemberState::kSuspect), false},
+        {"another is leaving there", bound_east, member("east", MemberState::kAlive, true), false},
+        {"another is suspect there", bound_east, member("east", MemberState::kSuspect), false},
         {"nobody is there", bound_east, member("north", MemberState::kAlive), false},
         {"nothing in common", {{east}, {own}}, member("east", MemberState::kAlive), false},
     };
