--- a/src/bench/scale_measurement.cpp
+++ b/src/bench/scale_measurement.cpp
@@ -205,7 +205,7 @@
   result.quiet.revision = measured.revision;
   result.quiet.drain_mark = measured.drain_mark;
   result.failures_known = measured.failures;
-  result.bytes_per_second_after_kill = measured.busiest_bytes_per_second;
+  result.bytes_per_second_after_kill = measured.peak_bytes_per_second;
   return result;
 }
 
--- a/src/bench/simulation/weight_distribution.cpp
+++ b/src/bench/simulation/weight_distribution.cpp
@@ -25,8 +25,8 @@
   controllers::RolloutSettings settings;
   settings.switch_order = controllers::SwitchOrder::kAsReady;
   settings.parallel_prefetches = kParallelPrefetches;
-  settings.most_parallel_prefetches = kMostParallelPrefetches;
-  settings.short_transfer = kShortTransfer;
+  settings.max_parallel_prefetches = kMostParallelPrefetches;
+  settings.target_transfer_time = kShortTransfer;
   return settings;
 }
 
--- a/src/controllers/byte_budget.hpp
+++ b/src/controllers/byte_budget.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Token bucket over bytes sent. Plain arithmetic; owned by its user.
+/// Token bucket that limits the bytes a node sends. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 class ByteBudget {
  public:
   /// \param bytes_per_second long-run limit
-  /// \param burst_bytes most that may be saved up
+  /// \param burst_bytes maximum number of unused bytes that accumulate
   ByteBudget(double bytes_per_second, double burst_bytes)
       : bytes_per_second_(bytes_per_second), burst_bytes_(burst_bytes), available_(burst_bytes) {}
 
@@ -24,13 +24,13 @@
     available_ = std::min(burst_bytes_, available_ + seconds * bytes_per_second_);
     refilled_at_ = now;
   }
-  /// \return bytes that may be sent now.
+  /// \return the number of bytes that may be sent now
   std::size_t available() const {
     return available_ > 0 ? static_cast<std::size_t>(available_) : 0;
   }
-  /// Records bytes sent. What may not be put off is sent past the limit and
-  /// paid back later, up to one burst: a debt without bound would silence a
-  /// node that many ask at once.
+  /// Records \p bytes as sent. Traffic that cannot be delayed may exceed the limit. The
+  /// debt is repaid from later refills and is capped at one burst, because an unlimited
+  /// debt would silence a node that receives many requests at once.
   void spend(std::size_t bytes) {
     available_ = std::max(-burst_bytes_, available_ - static_cast<double>(bytes));
   }
--- a/src/controllers/claim_memory.hpp
+++ b/src/controllers/claim_memory.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What one process remembers of its claims: those granted lately and those that
-/// were never sent under and may still stand in the store. Plain code, bounded.
+/// In-memory, bounded record of a process's own claims: recently granted ones, and
+/// abandoned ones that may still exist in the store.
 #pragma once
 
 #include <deque>
@@ -20,14 +20,14 @@
   core::Revision revision;
 };
 
-/// Granted claims by row key; forgets the oldest beyond its capacity. It saves
-/// store calls, and a repeat that comes during an outage learns the truth.
+/// Cache of granted claims by row key; evicts the oldest entry when full. It saves store
+/// calls and lets a repeated request be answered correctly during a store outage.
 class GrantedClaims {
  public:
   explicit GrantedClaims(std::size_t capacity) : capacity_(capacity) {}
 
   void add(const std::string& row_key, GrantedClaim claim);
-  /// \return null when unknown; valid until the next add() or remove().
+  /// \return the claim, or null when unknown; valid until the next add() or remove()
   GrantedClaim* find(const std::string& row_key);
   void remove(const std::string& row_key);
 
@@ -37,12 +37,13 @@
   std::deque<std::string> order_;
 };
 
-/// A claim under which nothing was ever sent, and which is to be released.
+/// A claim under which no request was sent and whose row has to be released.
 struct AbandonedClaim {
   std::string row_key;
   core::WriteId claim;
   core::MonotonicTime since;
-  /// When to look for it next, and the pause after that; the pause doubles.
+  /// Time of the next check of the row, and the delay until the one after; the delay
+  /// doubles with each check.
   core::MonotonicTime next_check;
   core::Duration check_interval = std::chrono::seconds(2);
 };
@@ -51,14 +52,15 @@
  public:
   explicit AbandonedClaims(std::size_t capacity) : capacity_(capacity) {}
 
-  /// \return false when the oldest had to be forgotten for it.
+  /// \return false when the oldest claim was evicted to make room
   bool add(AbandonedClaim claim);
   bool contains(const core::WriteId& claim) const;
   void remove(const core::WriteId& claim);
-  /// Forgets those abandoned before \p limit: a write of theirs cannot arrive any
-  /// more. \return how many.
+  /// Removes the claims abandoned before \p limit, whose writes can no longer reach the
+  /// store.
+  /// \return the number of removed claims
   std::size_t remove_older_than(core::MonotonicTime limit);
-  /// \return those to look for now; each is due again after its interval.
+  /// \return the claims that are due for a check; each is rescheduled after its interval
   std::vector<AbandonedClaim> take_due(core::MonotonicTime now);
 
  private:
--- a/src/controllers/claim_process.cpp
+++ b/src/controllers/claim_process.cpp
@@ -4,13 +4,14 @@
 namespace {
 using core::ErrorCode;
 
-/// Writes of one claim, the guard's own repeats apart.
-constexpr std::uint32_t kMostWrites = 3;
+/// Maximum number of writes per claim, not counting retries inside the table service
+/// client.
+constexpr std::uint32_t kMaxWrites = 3;
 constexpr core::Duration kRetryAfterConflict = std::chrono::milliseconds(200);
 
-core::Error busy() {
-  return core::make_error(ErrorCode::kUnavailable, "the key's claim keeps changing",
-                          kRetryAfterConflict);
+core::Error claim_contended() {
+  return core::make_error(ErrorCode::kUnavailable,
+                          "the claim of this idempotency key keeps changing", kRetryAfterConflict);
 }
 }  // namespace
 
@@ -24,9 +25,9 @@
   error_ = std::move(error);
 }
 
-void ClaimProcess::write_on(core::Revision condition) {
-  if (writes_ >= kMostWrites || write_is_open_) {
-    refuse(busy());
+void ClaimProcess::write_if(core::Revision condition) {
+  if (writes_ >= kMaxWrites || write_outcome_unknown_) {
+    refuse(claim_contended());
     return;
   }
   step_ = ClaimStep::kWrite;
@@ -49,7 +50,7 @@
     refuse(answer.error());
     return;
   }
-  write_is_open_ = true;
+  write_outcome_unknown_ = true;
   step_ = ClaimStep::kRead;
 }
 
@@ -62,7 +63,7 @@
     on_row(**answer, abandoned);
     return;
   }
-  write_on(core::Revision());
+  write_if(core::Revision());
 }
 
 void ClaimProcess::on_row(const StoredClaim& row, bool abandoned) {
@@ -71,7 +72,7 @@
     return;
   }
   if (abandoned) {
-    write_on(row.revision);
+    write_if(row.revision);
     return;
   }
   step_ = ClaimStep::kTaken;
--- a/src/controllers/claim_record.hpp
+++ b/src/controllers/claim_record.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The row of a claimed idempotency key and its codec. Plain code.
+/// Table row of a claimed idempotency key, with its encoding.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 
 namespace stoneport::controllers {
 
-/// The recorded end of a claimed request; a large body lies in the object store.
+/// Recorded response of a claimed request; a large body is kept in the object store.
 struct StoredOutcome {
   unsigned status = 0;
   std::string content_type;
@@ -22,21 +22,21 @@
 struct ClaimRecord {
   core::WriteId claim;
   std::uint64_t fingerprint = 0;
-  /// For sweeping old rows, never for a decision about the request.
+  /// Used only to delete old rows, never to decide about the request.
   core::WallTime claimed_at{};
   std::optional<StoredOutcome> outcome;
 };
 
-/// Longest body that is kept in the row itself.
-inline constexpr std::size_t kMostInlineBytes = 16 * 1024;
+/// Maximum size of a body that is stored in the row itself, in bytes.
+inline constexpr std::size_t kMaxInlineBytes = 16 * 1024;
 
-/// \return kInvalidArgument when a text is not UTF-8; such a body belongs in the
-/// object store.
+/// \return the encoded record, or kInvalidArgument when a text is not valid UTF-8; such a
+/// body belongs in the object store
 core::Result<std::string> encode_claim(const ClaimRecord& record);
 core::Result<ClaimRecord> parse_claim(const std::string& text);
 
-/// \return the row's key: the parts percent-encoded, so that none runs into the
-/// next.
+/// \return the row's key. Its parts are percent-encoded so that different keys cannot
+/// produce the same row key.
 std::string claim_row_key(const filters::ClaimKey& key);
 
 }  // namespace stoneport::controllers
--- a/src/controllers/configuration_controller.cpp
+++ b/src/controllers/configuration_controller.cpp
@@ -14,11 +14,11 @@
 using config::AdoptionVerdict;
 using ports::TablePriority;
 
-constexpr int kMostAttempts = 8;
-constexpr int kMostReadings = 3;
-constexpr core::Duration kRetryPause = std::chrono::milliseconds(50);
-constexpr core::Duration kRetryAfterRaces = std::chrono::seconds(1);
-constexpr core::Duration kPauseAfterAsking = std::chrono::milliseconds(150);
+constexpr int kMaxPublishAttempts = 8;
+constexpr int kMaxStoreReads = 3;
+constexpr core::Duration kPublishRetryDelay = std::chrono::milliseconds(50);
+constexpr core::Duration kRetryAfterConflicts = std::chrono::seconds(1);
+constexpr core::Duration kFetchRetryDelay = std::chrono::milliseconds(150);
 
 std::string write_prefix(const wire::Member& self, std::uint64_t seed) {
   return fmt::format("configuration/{}/{}/{}", self.node.value(), self.incarnation.value(), seed);
@@ -32,12 +32,12 @@
 core::Error unknown_outcome(const config::PublishCommit& commit, const std::string& cause) {
   return core::make_error(
       core::ErrorCode::kOutcomeUnknown,
-      fmt::format("whether {} was accepted as revision {} is not known ({}); publish the same "
-                  "document again: if it was accepted, that changes nothing",
+      fmt::format("it is unknown whether {} was accepted as revision {} ({}); publish the same "
+                  "document again, which has no effect if it was accepted",
                   to_string(commit.key), commit.record.revision.value(), cause));
 }
 
-/// An older revision is no fault: the sender will catch up.
+/// An older revision is not an error: the sender will catch up.
 bool is_refusal(AdoptionVerdict verdict) {
   return verdict != AdoptionVerdict::kAdopted && verdict != AdoptionVerdict::kSame &&
          verdict != AdoptionVerdict::kOlder;
@@ -88,19 +88,19 @@
 asio::awaitable<void> ConfigurationController::run_peer_loop() {
   while (!stopping_) {
     members_changed_ = false;
-    co_await look_at_peers();
+    co_await sync_with_peers();
     if (!members_changed_ && !stopping_) {
-      co_await wait(peer_timer_, jittered(options_.peer_interval));
+      co_await wait(peer_timer_, jittered(options_.peer_poll_interval));
     }
   }
 }
 
 asio::awaitable<void> ConfigurationController::run_store_loop() {
   while (!stopping_) {
-    core::Result<ConfigurationHead> asked = co_await ask_store(TablePriority::kBackground);
+    core::Result<ConfigurationHead> asked = co_await sync_with_store(TablePriority::kBackground);
     count("store_read", asked.has_value() ? "ok" : "failed");
     const core::Duration shortest =
-        ready() ? options_.shortest_store_poll : options_.starting_store_poll;
+        ready() ? options_.min_store_poll_interval : options_.initial_store_poll_interval;
     const core::Duration pause = config::next_store_poll(
         membership_.members().size(), options_.fleet_store_polls_per_second, shortest, random_);
     if (!stopping_) {
@@ -109,8 +109,9 @@
   }
 }
 
-/// Asks until nobody is known to have a newer configuration, or nobody answers.
-asio::awaitable<void> ConfigurationController::look_at_peers() {
+/// Fetches from peers until no peer is known to have a newer configuration and none is
+/// needed to confirm this one.
+asio::awaitable<void> ConfigurationController::sync_with_peers() {
   while (!stopping_) {
     const std::vector<config::ConfigurationPeer> known = peers();
     std::optional<config::ConfigurationPeer> chosen = adoption_.newer_peer(known, random_);
@@ -126,24 +127,24 @@
         members.begin(), members.end(),
         [&chosen](const wire::Member& candidate) { return candidate.node == chosen->node; });
     const core::Revision before = adoption_.revision();
-    core::Result<void> asked = co_await ask_peer(*member);
+    core::Result<void> asked = co_await fetch_from_peer(*member);
     count("peer_fetch", asked.has_value() ? "ok" : "failed");
     if (adoption_.revision() == before && !stopping_) {
-      co_await runtime::sleep_for(jittered(kPauseAfterAsking));
+      co_await runtime::sleep_for(jittered(kFetchRetryDelay));
     }
   }
 }
 
-asio::awaitable<core::Result<void>> ConfigurationController::ask_peer(wire::Member peer) {
+asio::awaitable<core::Result<void>> ConfigurationController::fetch_from_peer(wire::Member peer) {
   const core::Revision since =
-      peer_reach_ == Reach::kWhole ? core::Revision() : adoption_.revision();
+      next_peer_fetch_ == FetchScope::kFull ? core::Revision() : adoption_.revision();
   core::Result<PeerConfiguration> answer =
       co_await peer_client_.fetch(peer, since, options_.exchange_timeout);
   if (answer.has_error()) {
     co_return answer.error();
   }
-  const AdoptionVerdict verdict = take(*answer);
-  peer_reach_ = verdict == AdoptionVerdict::kBadHash ? Reach::kWhole : Reach::kNewer;
+  const AdoptionVerdict verdict = accept_offer(*answer);
+  next_peer_fetch_ = verdict == AdoptionVerdict::kBadHash ? FetchScope::kFull : FetchScope::kDelta;
   if (is_refusal(verdict)) {
     co_return refusal(verdict);
   }
@@ -154,26 +155,27 @@
   co_return core::Result<void>();
 }
 
-/// Reads the head and, where it is newer, what lies behind it. A publication
-/// between the two readings shows as a hash that does not match; so does content
-/// of ours that the store never held. The next reading is of the whole.
-asio::awaitable<core::Result<ConfigurationHead>> ConfigurationController::ask_store(
+/// Reads the head row and, if it is newer, the documents behind it. A hash mismatch means
+/// either that a document was published between the two reads, or that this daemon holds
+/// content that the store never had. In both cases the next attempt reads the full
+/// configuration.
+asio::awaitable<core::Result<ConfigurationHead>> ConfigurationController::sync_with_store(
     TablePriority priority) {
   core::Error error;
-  for (int reading = 0; reading < kMostReadings; ++reading) {
+  for (int reading = 0; reading < kMaxStoreReads; ++reading) {
     core::Result<ConfigurationHead> head = co_await store_.read_head(priority);
     if (head.has_error()) {
       co_return head.error();
     }
     core::Result<void> outcome;
     if (head->revision > adoption_.revision()) {
-      const Reach reach = reading == 0 ? Reach::kNewer : Reach::kWhole;
-      outcome = co_await read_newer(*head, reach, priority);
+      const FetchScope scope = reading == 0 ? FetchScope::kDelta : FetchScope::kFull;
+      outcome = co_await read_newer(*head, scope, priority);
     } else {
       count("head", adoption_.compare(head->revision, head->hash));
     }
     if (outcome.has_value()) {
-      remember(*head);
+      update_known_head(*head);
       adoption_.heard_store();
       check_ready();
       co_return head;
@@ -187,9 +189,9 @@
 }
 
 asio::awaitable<core::Result<void>> ConfigurationController::read_newer(ConfigurationHead head,
-                                                                        Reach reach,
+                                                                        FetchScope scope,
                                                                         TablePriority priority) {
-  const ConfigurationHead start = reach == Reach::kWhole ? ConfigurationHead() : known_head_;
+  const ConfigurationHead start = scope == FetchScope::kFull ? ConfigurationHead() : known_head_;
   core::Result<std::map<config::DocumentKey, config::DocumentRecord>> documents =
       co_await store_.read_documents(start.row, priority);
   if (documents.has_error()) {
@@ -210,29 +212,29 @@
 asio::awaitable<core::Result<PublishOutcome>> ConfigurationController::publish(
     config::PublishRequest request) {
   core::Result<PublishOutcome> outcome =
-      core::make_error(core::ErrorCode::kUnavailable, "not tried");
-  for (int attempt = 0; attempt < kMostAttempts; ++attempt) {
+      core::make_error(core::ErrorCode::kUnavailable, "no attempt to publish was made");
+  for (int attempt = 0; attempt < kMaxPublishAttempts; ++attempt) {
     outcome = co_await try_publish(request);
     const bool raced = outcome.has_error() && outcome.error().code == core::ErrorCode::kConflict;
     if (!raced) {
       break;
     }
-    co_await runtime::sleep_for(jittered(kRetryPause));
+    co_await runtime::sleep_for(jittered(kPublishRetryDelay));
   }
   count("publish", outcome.has_value() ? "answered" : "failed");
   if (outcome.has_error() && outcome.error().code == core::ErrorCode::kConflict) {
-    co_return core::make_error(
-        core::ErrorCode::kUnavailable,
-        fmt::format("not accepted after {} attempts: {}", kMostAttempts, outcome.error().message),
-        kRetryAfterRaces);
+    co_return core::make_error(core::ErrorCode::kUnavailable,
+                               fmt::format("not accepted after {} attempts: {}",
+                                           kMaxPublishAttempts, outcome.error().message),
+                               kRetryAfterConflicts);
   }
   co_return outcome;
 }
 
-/// One reading of the newest whole and one attempt to commit on top of it.
+/// Reads the newest configuration once and tries once to commit on top of it.
 asio::awaitable<core::Result<PublishOutcome>> ConfigurationController::try_publish(
     config::PublishRequest request) {
-  core::Result<ConfigurationHead> head = co_await ask_store(TablePriority::kInteractive);
+  core::Result<ConfigurationHead> head = co_await sync_with_store(TablePriority::kInteractive);
   if (head.has_error()) {
     co_return core::make_error(
         core::ErrorCode::kUnavailable,
@@ -244,7 +246,7 @@
   }
   config::PublishPlan plan = config::plan_publish(record(), request, time_.wall_now());
   if (auto* commit = std::get_if<config::PublishCommit>(&plan)) {
-    co_return co_await carry_out(std::move(*commit), *head);
+    co_return co_await commit_plan(std::move(*commit), *head);
   }
   if (const auto* unchanged = std::get_if<config::PublishUnchanged>(&plan)) {
     co_return PublishOutcome(PublishAccepted{unchanged->key, unchanged->revision, true, 0});
@@ -255,7 +257,7 @@
   co_return PublishOutcome(std::get<config::PublishInvalid>(std::move(plan)));
 }
 
-asio::awaitable<core::Result<PublishOutcome>> ConfigurationController::carry_out(
+asio::awaitable<core::Result<PublishOutcome>> ConfigurationController::commit_plan(
     config::PublishCommit commit, ConfigurationHead head) {
   core::Result<ConfigurationHead> committed = co_await store_.commit(commit, head);
   if (committed.has_error()) {
@@ -266,15 +268,15 @@
   }
   const core::Revision revision = commit.record.revision;
   adopt(config::delta_since(commit.record, head.revision));
-  remember(*committed);
+  update_known_head(*committed);
   adoption_.heard_store();
   check_ready();
   const std::uint32_t copies = co_await push_to_zones(head.revision);
   co_return PublishOutcome(PublishAccepted{commit.key, revision, false, copies});
 }
 
-/// Hands what changed after \p since to one member of each other zone, so that a
-/// revision that was accepted outlives this process though the store be down.
+/// Pushes the changes after \p since to one member of every other zone, so that an accepted
+/// revision survives the loss of this process even while the store is down.
 asio::awaitable<std::uint32_t> ConfigurationController::push_to_zones(core::Revision since) {
   std::uint32_t copies = 0;
   const std::vector<wire::Member> targets = one_member_of_each_other_zone();
@@ -291,7 +293,7 @@
   return PeerConfiguration{self_.node, self_.zone, ready(), config::delta_since(record(), since)};
 }
 
-AdoptionVerdict ConfigurationController::take(const PeerConfiguration& offer) {
+AdoptionVerdict ConfigurationController::accept_offer(const PeerConfiguration& offer) {
   return adopt(offer.delta);
 }
 
@@ -299,22 +301,22 @@
   config::Adoption adoption = adoption_.take(delta);
   count("take", adoption.verdict);
   if (adoption.verdict == AdoptionVerdict::kAdopted) {
-    put_in_force(std::move(adoption.configuration));
+    activate(std::move(adoption.configuration));
   }
   return adoption.verdict;
 }
 
-void ConfigurationController::put_in_force(config::Configuration configuration) {
+void ConfigurationController::activate(config::Configuration configuration) {
   const core::Revision revision = configuration.revision;
   snapshots_.publish(std::make_shared<const config::Configuration>(std::move(configuration)));
   membership_.announce_configuration(revision);
   revision_gauge_.Set(static_cast<double>(revision.value()));
   spdlog::info("configuration {} in force", revision.value());
-  tell_listeners();
+  notify_listeners();
 }
 
-/// Keeps \p head when the configuration in force holds all that it stands for.
-void ConfigurationController::remember(const ConfigurationHead& head) {
+/// Records \p head if the active configuration includes everything up to it.
+void ConfigurationController::update_known_head(const ConfigurationHead& head) {
   if (head.row >= known_head_.row && head.revision <= adoption_.revision()) {
     known_head_ = head;
   }
@@ -324,11 +326,11 @@
   const bool before = ready();
   if (adoption_.update_ready(peers()) && !before) {
     spdlog::info("ready with configuration {}", adoption_.revision().value());
-    tell_listeners();
+    notify_listeners();
   }
 }
 
-void ConfigurationController::tell_listeners() {
+void ConfigurationController::notify_listeners() {
   for (const std::function<void()>& listener : listeners_) {
     listener();
   }
@@ -340,7 +342,8 @@
 
 void ConfigurationController::count(const char* what, const std::string& outcome) {
   metrics_
-      .counter("stoneport_configuration_events_total", "What the configuration controller did",
+      .counter("stoneport_configuration_events_total",
+               "Operations of the configuration controller, by event and outcome",
                {{"event", what}, {"outcome", outcome}})
       .Increment();
 }
--- a/src/controllers/configuration_controller.hpp
+++ b/src/controllers/configuration_controller.hpp
@@ -1,12 +1,13 @@
 /// \file
-/// Publishes documents and keeps the newest configuration in force on this
-/// daemon. Owns the configuration's state; lives on the control thread.
+/// Publishes documents and keeps the newest configuration active on this daemon. Owns the
+/// configuration state; runs on the control thread.
 ///
-/// A document is accepted once its transaction has committed. The revision then
-/// rides in gossip; a daemon that hears of a higher one fetches what it lacks
-/// from a peer, and reads the store's head now and then in case gossip is cut.
-/// What arrives is verified against its hash before it is in force, and a lower
-/// revision than the one in force is never taken (docs/design/configuration.md).
+/// A document is accepted once its transaction has committed. Gossip then spreads the
+/// revision number. A daemon that sees a higher revision than its own fetches the changes
+/// from a peer. It also polls the head row in the store at intervals, in case gossip is
+/// partitioned. A received configuration is verified against its hash before it takes
+/// effect, and a revision lower than the active one is never applied
+/// (docs/design/configuration.md).
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -29,26 +30,26 @@
 namespace stoneport::controllers {
 
 struct ConfigurationOptions {
-  core::Duration exchange_timeout = std::chrono::seconds(2);  ///< with a peer
+  core::Duration exchange_timeout = std::chrono::seconds(2);  ///< per request to a peer
   core::Duration push_timeout = std::chrono::milliseconds(500);
-  core::Duration peer_interval = std::chrono::seconds(1);  ///< between looks at the members
-  core::Duration shortest_store_poll = std::chrono::seconds(5);
-  core::Duration starting_store_poll = std::chrono::seconds(1);  ///< until ready
+  core::Duration peer_poll_interval = std::chrono::seconds(1);  ///< between checks of the members
+  core::Duration min_store_poll_interval = std::chrono::seconds(5);
+  core::Duration initial_store_poll_interval = std::chrono::seconds(1);  ///< until ready
   double fleet_store_polls_per_second = 2;
   std::uint64_t seed = 1;
 };
 
 struct PublishAccepted {
   config::DocumentKey key;
-  core::Revision revision;   ///< of the configuration that holds the document
-  bool unchanged = false;    ///< the same document was published already
-  std::uint32_t copies = 0;  ///< daemons of other zones that had it in force at once
+  core::Revision revision;   ///< of the configuration that contains the document
+  bool unchanged = false;    ///< the same document had already been published
+  std::uint32_t copies = 0;  ///< daemons in other zones that activated it before the response
 };
 
 using PublishOutcome =
     std::variant<PublishAccepted, config::PublishConflict, config::PublishInvalid>;
 
-/// How far a revision has spread over the members.
+/// Number of members that have a revision in force, and those that do not.
 struct InForceCounts {
   std::uint32_t in_force = 0;
   std::uint32_t total = 0;
@@ -62,55 +63,57 @@
                           const core::TimeSource& time, core::Metrics& metrics,
                           ConfigurationOptions options);
 
-  /// Starts looking for a configuration. Destroy the controller only once its
-  /// executor runs no more.
+  /// Starts the background loops. Destroy the controller only after its executor has
+  /// stopped.
   void start();
-  /// Ends the loops; an exchange that is on its way is let run out.
+  /// Ends the background loops; a request in progress is allowed to finish.
   void stop();
 
   /// Publishes one document.
-  /// \return what it came to; kUnavailable or kRateLimited when it was surely
-  /// not accepted; kOutcomeUnknown when that could not be settled.
+  /// \return the outcome; kUnavailable or kRateLimited when the document was certainly not
+  /// accepted; kOutcomeUnknown when that could not be determined
   boost::asio::awaitable<core::Result<PublishOutcome>> publish(config::PublishRequest request);
 
   ConfigurationStore& store() { return store_; }
-  /// \return what is in force here, with its authors.
+  /// \return the configuration in force on this daemon, with its authors
   const config::ConfigurationRecord& record() const { return adoption_.record(); }
   runtime::SnapshotPublisher<config::Configuration>& snapshots() { return snapshots_; }
-  /// \return whether enough is known to serve; once true, always true.
+  /// \return whether this daemon knows enough to serve; never reverts to false
   bool ready() const { return adoption_.ready(); }
-  /// Calls \p listener after each new configuration and when ready() turns true.
+  /// Registers \p listener, which is called after each new configuration and when ready()
+  /// becomes true.
   void on_change(std::function<void()> listener) { listeners_.push_back(std::move(listener)); }
 
-  /// \return what a peer at \p since lacks.
+  /// \return the changes after \p since, for a peer that has that revision
   PeerConfiguration offer_since(core::Revision since) const;
-  /// Takes what a peer handed us.
-  /// \return what became of it.
-  config::AdoptionVerdict take(const PeerConfiguration& offer);
+  /// Applies a configuration pushed by a peer if it is newer and valid.
+  /// \return the verdict
+  config::AdoptionVerdict accept_offer(const PeerConfiguration& offer);
   InForceCounts count_in_force(core::Revision revision) const;
 
   const boost::asio::any_io_executor& executor() const { return executor_; }
 
  private:
-  enum class Reach { kNewer, kWhole };  ///< how much of a configuration to ask for
+  enum class FetchScope { kDelta, kFull };  ///< how much of a configuration to request
 
   boost::asio::awaitable<void> run_peer_loop();
   boost::asio::awaitable<void> run_store_loop();
-  boost::asio::awaitable<void> look_at_peers();
-  boost::asio::awaitable<core::Result<void>> ask_peer(wire::Member peer);
-  boost::asio::awaitable<core::Result<ConfigurationHead>> ask_store(ports::TablePriority priority);
-  boost::asio::awaitable<core::Result<void>> read_newer(ConfigurationHead head, Reach reach,
+  boost::asio::awaitable<void> sync_with_peers();
+  boost::asio::awaitable<core::Result<void>> fetch_from_peer(wire::Member peer);
+  boost::asio::awaitable<core::Result<ConfigurationHead>> sync_with_store(
+      ports::TablePriority priority);
+  boost::asio::awaitable<core::Result<void>> read_newer(ConfigurationHead head, FetchScope scope,
                                                         ports::TablePriority priority);
   boost::asio::awaitable<core::Result<PublishOutcome>> try_publish(config::PublishRequest request);
-  boost::asio::awaitable<core::Result<PublishOutcome>> carry_out(config::PublishCommit commit,
-                                                                 ConfigurationHead head);
+  boost::asio::awaitable<core::Result<PublishOutcome>> commit_plan(config::PublishCommit commit,
+                                                                   ConfigurationHead head);
   boost::asio::awaitable<std::uint32_t> push_to_zones(core::Revision since);
 
   config::AdoptionVerdict adopt(const config::ConfigurationDelta& delta);
-  void put_in_force(config::Configuration configuration);
-  void remember(const ConfigurationHead& head);
+  void activate(config::Configuration configuration);
+  void update_known_head(const ConfigurationHead& head);
   void check_ready();
-  void tell_listeners();
+  void notify_listeners();
   void count(const char* what, config::AdoptionVerdict verdict);
   void count(const char* what, const std::string& outcome);
   std::vector<wire::Member> other_members() const;
@@ -128,14 +131,15 @@
   ConfigurationStore store_;
   ConfigurationPeers peer_client_;
   config::ConfigurationAdoption adoption_;
-  ConfigurationHead known_head_;  ///< the newest head that was read or written
+  ConfigurationHead known_head_;  ///< newest head read or written
   runtime::SnapshotPublisher<config::Configuration> snapshots_;
   std::vector<std::function<void()>> listeners_;
   boost::asio::steady_timer peer_timer_;
   boost::asio::steady_timer store_timer_;
   bool stopping_ = false;
   bool members_changed_ = false;
-  Reach peer_reach_ = Reach::kNewer;  ///< whole after a difference that did not fit
+  /// kFull after a delta that did not match its hash
+  FetchScope next_peer_fetch_ = FetchScope::kDelta;
   prometheus::Gauge& revision_gauge_;
 };
 
--- a/src/controllers/configuration_peer_routes.cpp
+++ b/src/controllers/configuration_peer_routes.cpp
@@ -17,8 +17,8 @@
   const std::optional<core::Revision> since =
       config::parse_revision(http::query_parameter(request.head.target, "since").value_or("0"));
   if (!since) {
-    const core::Error error =
-        core::make_error(core::ErrorCode::kInvalidArgument, "since is not a whole number");
+    const core::Error error = core::make_error(
+        core::ErrorCode::kInvalidArgument, "query parameter 'since' is not an unsigned integer");
     co_return http::error_response(kBadRequest, error);
   }
   co_return http::json_response(kOk,
@@ -31,7 +31,7 @@
   if (offer.has_error()) {
     co_return http::error_response(kBadRequest, offer.error());
   }
-  const config::AdoptionVerdict verdict = controller.take(*offer);
+  const config::AdoptionVerdict verdict = controller.accept_offer(*offer);
   if (controller.record().revision < offer->delta.changed.revision) {
     const core::Error error = core::make_error(
         core::ErrorCode::kConflict, "refused: " + std::string(config::to_string(verdict)));
--- a/src/controllers/configuration_peer_routes.hpp
+++ b/src/controllers/configuration_peer_routes.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Routes by which daemons ask one another for the configuration. Handlers run
-/// on the control thread, whichever thread the listener has.
+/// HTTP routes on which daemons exchange configurations. Handlers run on the control
+/// thread, regardless of the listener's thread.
 #pragma once
 
 #include "controllers/configuration_controller.hpp"
--- a/src/controllers/configuration_peers.cpp
+++ b/src/controllers/configuration_peers.cpp
@@ -10,7 +10,7 @@
 namespace asio = boost::asio;
 
 constexpr unsigned kOk = 200;
-constexpr std::uint64_t kLargestConfiguration = std::uint64_t{64} << 20;
+constexpr std::uint64_t kMaxConfigurationBytes = std::uint64_t{64} << 20;
 
 }  // namespace
 
@@ -24,7 +24,8 @@
 core::Result<PeerConfiguration> peer_configuration_from_json(const std::string& text) {
   const std::optional<nlohmann::json> parsed = core::parse_json(text);
   if (!parsed) {
-    return core::make_error(core::ErrorCode::kProtocol, "a peer's configuration is no JSON");
+    return core::make_error(core::ErrorCode::kProtocol,
+                            "the configuration received from a peer is not valid JSON");
   }
   try {
     const nlohmann::json& object = *parsed;
@@ -77,7 +78,7 @@
   http::SendOptions options;
   options.deadline = time_.now() + timeout;
   options.connect_timeout = timeout;
-  options.max_body_bytes = kLargestConfiguration;
+  options.max_body_bytes = kMaxConfigurationBytes;
   http::ClientResult<http::Response> response =
       co_await client_.fetch(peer.peer_address, std::move(request), options);
   if (response.has_error()) {
--- a/src/controllers/configuration_peers.hpp
+++ b/src/controllers/configuration_peers.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Configurations between daemons: `GET /peer/configuration?since=N` asks a peer
-/// for what changed after a revision, `POST /peer/configuration` hands a peer a
-/// newer one. Control thread only.
+/// Client for exchanging configurations with other daemons: `GET
+/// /peer/configuration?since=N` returns the changes after a revision, `POST
+/// /peer/configuration` pushes a newer configuration. Control thread only.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,11 +13,11 @@
 
 namespace stoneport::controllers {
 
-/// What a peer answers about its configuration.
+/// A daemon's configuration, in full or as a delta, as sent to a peer.
 struct PeerConfiguration {
   core::NodeId node;
   core::ZoneName zone;
-  bool ready = false;  ///< whether the peer itself knows enough to serve
+  bool ready = false;  ///< whether the sending daemon knows enough to serve
   config::ConfigurationDelta delta;
 };
 
@@ -29,12 +29,12 @@
   ConfigurationPeers(http::Client& client, const core::TimeSource& time)
       : client_(client), time_(time) {}
 
-  /// Asks \p peer for what changed after \p since.
+  /// Requests the changes after \p since from \p peer.
   boost::asio::awaitable<core::Result<PeerConfiguration>> fetch(wire::Member peer,
                                                                 core::Revision since,
                                                                 core::Duration timeout);
-  /// Hands \p offer to \p peer; success means that the peer has that revision or
-  /// a newer one in force.
+  /// Pushes \p offer to \p peer. Success means that the peer has that revision or a newer
+  /// one in force.
   boost::asio::awaitable<core::Result<void>> push(wire::Member peer, PeerConfiguration offer,
                                                   core::Duration timeout);
 
--- a/src/controllers/configuration_store.cpp
+++ b/src/controllers/configuration_store.cpp
@@ -27,7 +27,7 @@
   return "history/" + to_string(key) + "/";
 }
 
-/// Padded, so that the order of keys is that of revisions.
+/// Zero-padded so that keys sort by revision.
 RowKey history_key(const DocumentKey& key, core::Revision revision) {
   return RowKey{kTable, fmt::format("{}{:012}", history_prefix(key), revision.value())};
 }
@@ -122,7 +122,7 @@
   }
   const core::Revision document_row = *row ? (*row)->revision : core::Revision();
   if (document_row > head.row) {
-    co_return core::make_error(core::ErrorCode::kConflict, "the document has just changed");
+    co_return core::make_error(core::ErrorCode::kConflict, "the document was changed concurrently");
   }
   ports::Transaction transaction = transaction_for(commit, head, document_row);
   transaction.write_id = core::WriteId(fmt::format("{}/{}", write_prefix_, ++writes_));
--- a/src/controllers/configuration_store.hpp
+++ b/src/controllers/configuration_store.hpp
@@ -1,12 +1,12 @@
 /// \file
-/// The configuration as rows of the table service. One transaction writes the
-/// document, its line of history and the head, and holds only while the head and
-/// the document are the ones it was planned against. Control thread only.
+/// Stores the configuration as rows of the table service. One transaction writes the
+/// document, its history row and the head row, on condition that the head and the document
+/// have not changed since the transaction was planned. Control thread only.
 ///
 /// Rows of the table "configuration":
-/// - `head`: revision and hash of the newest whole
+/// - `head`: revision and hash of the newest configuration
 /// - `documents/GROUP/NAME`: the document as last published
-/// - `history/GROUP/NAME/REVISION`: every publication of it
+/// - `history/GROUP/NAME/REVISION`: one publication of the document
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -21,32 +21,32 @@
 
 namespace stoneport::controllers {
 
-/// The head row; all zero while nothing has been published.
+/// Contents of the head row; all zero before the first publication.
 struct ConfigurationHead {
   core::Revision revision;  ///< of the configuration
-  std::uint64_t hash = 0;   ///< of the whole at that revision
+  std::uint64_t hash = 0;   ///< of the full configuration at that revision
   core::Revision row;       ///< the row's own revision in the table service
 };
 
 class ConfigurationStore {
  public:
-  /// \param write_prefix unique to this process's life; stands in write ids
+  /// \param write_prefix prefix of all write ids, unique to this process
   ConfigurationStore(ports::TableService& table, std::string write_prefix)
       : table_(table), write_prefix_(std::move(write_prefix)) {}
 
   boost::asio::awaitable<core::Result<ConfigurationHead>> read_head(ports::TablePriority priority);
-  /// \return the documents whose rows were written after the row revision \p after.
+  /// \return the documents whose rows were written after row revision \p after
   boost::asio::awaitable<core::Result<std::map<config::DocumentKey, config::DocumentRecord>>>
   read_documents(core::Revision after, ports::TablePriority priority);
-  /// Commits what was planned against \p head.
+  /// Commits a change that was planned against \p head.
   /// \return the new head; kConflict when the head or the document has changed;
-  /// kOutcomeUnknown when the answer was lost and could not be settled.
+  /// kOutcomeUnknown when the response was lost and the result could not be determined
   boost::asio::awaitable<core::Result<ConfigurationHead>> commit(config::PublishCommit commit,
                                                                  ConfigurationHead head);
-  /// \return every publication of the document, oldest first.
+  /// \return all publications of the document, oldest first
   boost::asio::awaitable<core::Result<std::vector<config::DocumentRecord>>> history(
       config::DocumentKey key);
-  /// \return the document as it was published at \p revision, or kNotFound.
+  /// \return the document as published at \p revision, or kNotFound
   boost::asio::awaitable<core::Result<config::DocumentRecord>> published_at(
       config::DocumentKey key, core::Revision revision);
 
--- a/src/controllers/digest_exchange.cpp
+++ b/src/controllers/digest_exchange.cpp
@@ -8,17 +8,17 @@
 namespace stoneport::controllers {
 namespace {
 
-/// Sender's record and list headers of a packet, on the wire with its UDP header.
+/// Bytes of a packet besides its reports: sender record, list headers and UDP header.
 constexpr std::size_t kPacketOverheadBytes = 130;
-/// Names are short, but a packet may not burst for long ones.
+/// Limits a request so that it fits into one packet even with long replica names.
 constexpr std::size_t kReplicasPerRequest = 8;
-/// Without a word for this long, the first watcher counts as silent.
-constexpr core::Duration kSilence = std::chrono::seconds(7);
+/// The first watcher counts as silent when it has not reported for this long.
+constexpr core::Duration kWatcherTimeout = std::chrono::seconds(7);
 constexpr double kBurstSeconds = 1;
-/// Prefixes are left out while the budget is below this.
+/// Prefixes are omitted while fewer bytes than this remain in the budget.
 constexpr std::size_t kPrefixReserveBytes = 1'500;
 
-/// \return whether the two differ in more than age and prefixes.
+/// \return whether the reports differ in anything but age and prefixes
 bool differs(const wire::ReplicaReport& left, const wire::ReplicaReport& right) {
   wire::ReplicaReport first = left;
   wire::ReplicaReport second = right;
@@ -43,7 +43,7 @@
   Subscriber& entry = subscribers_[subscriber];
   entry.address = address;
   for (const core::ReplicaId& replica : replicas) {
-    entry.subscriptions[replica].ends = now + kSubscriptionLength;
+    entry.subscriptions[replica].ends = now + kSubscriptionLifetime;
   }
 }
 
@@ -55,15 +55,15 @@
   std::erase_if(subscribers_, [](const auto& entry) { return entry.second.subscriptions.empty(); });
 }
 
-bool DigestPublisher::due_now(const Subscription& subscription, const TimedReport& report,
-                              core::MonotonicTime now) const {
+bool DigestPublisher::is_due(const Subscription& subscription, const TimedReport& report,
+                             core::MonotonicTime now) const {
   return !subscription.any_sent || differs(subscription.sent, report.report) ||
          now - subscription.sent_at >= kReportRefresh;
 }
 
-wire::ReplicaReport DigestPublisher::to_send(const Subscription& subscription,
-                                             const TimedReport& report,
-                                             core::MonotonicTime now) const {
+wire::ReplicaReport DigestPublisher::report_to_send(const Subscription& subscription,
+                                                    const TimedReport& report,
+                                                    core::MonotonicTime now) const {
   wire::ReplicaReport copy = report.report;
   const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - report.taken_at);
   copy.age_ms += static_cast<std::uint32_t>(std::max<std::int64_t>(0, age.count()));
@@ -91,10 +91,10 @@
   };
   for (auto& [replica, subscription] : subscriber.subscriptions) {
     const auto report = watched.find(replica);
-    if (report == watched.end() || !due_now(subscription, report->second, now)) {
+    if (report == watched.end() || !is_due(subscription, report->second, now)) {
       continue;
     }
-    wire::ReplicaReport copy = to_send(subscription, report->second, now);
+    wire::ReplicaReport copy = report_to_send(subscription, report->second, now);
     const std::size_t size = wire::encoded_size(copy);
     if (bytes + size > packet_bytes_) {
       finish();
@@ -132,11 +132,12 @@
   return pushes;
 }
 
-bool DigestSubscriber::first_is_enough(const core::ReplicaId& replica, const wire::Member& first,
-                                       const ReplicaReports& reports,
-                                       core::MonotonicTime now) const {
-  const auto heard = reports.heard(replica, first.node);
-  if (!heard || now - *heard > kSilence) {
+bool DigestSubscriber::first_watcher_suffices(const core::ReplicaId& replica,
+                                              const wire::Member& first,
+                                              const ReplicaReports& reports,
+                                              core::MonotonicTime now) const {
+  const auto heard = reports.last_report_time(replica, first.node);
+  if (!heard || now - *heard > kWatcherTimeout) {
     return false;
   }
   const TimedReport* best = reports.best(replica, now);
@@ -151,7 +152,7 @@
   std::map<core::Address, std::vector<core::ReplicaId>> by_watcher;
   for (const core::ReplicaId& replica : wanted) {
     std::vector<wire::Member> watchers = watchers_of(replica, members);
-    if (!watchers.empty() && first_is_enough(replica, watchers.front(), reports, now)) {
+    if (!watchers.empty() && first_watcher_suffices(replica, watchers.front(), reports, now)) {
       watchers.resize(1);
     }
     for (const wire::Member& watcher : watchers) {
--- a/src/controllers/digest_exchange.hpp
+++ b/src/controllers/digest_exchange.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// How reports of replicas get from their watchers to the daemons that route to
-/// them: a daemon subscribes with a replica's first watcher, and with the second
-/// as well while the first is silent or says the replica is gone. Plain state
-/// machines without clock or socket; docs/design/watchers.md weighs the ways.
+/// Distributes replica reports from the watchers to the daemons that route to those
+/// replicas. A daemon subscribes with a replica's first watcher. While the first watcher is
+/// silent or reports the replica as unreachable, it also subscribes with the second. State
+/// machines without clock or socket; docs/design/watchers.md compares the alternatives.
 #pragma once
 
 #include <functional>
@@ -17,21 +17,22 @@
 
 namespace stoneport::controllers {
 
-/// Daemons that poll one replica.
+/// Number of daemons that poll each replica.
 inline constexpr std::size_t kWatchersPerReplica = 2;
-/// A subscription that is not renewed ends after this time.
-inline constexpr core::Duration kSubscriptionLength = std::chrono::seconds(15);
+/// A subscription expires after this time unless it is renewed.
+inline constexpr core::Duration kSubscriptionLifetime = std::chrono::seconds(15);
 inline constexpr core::Duration kSubscriptionRenewal = std::chrono::seconds(5);
-/// A report without news is sent again after this time, as a sign of life.
+/// An unchanged report is resent after this time as a heartbeat.
 inline constexpr core::Duration kReportRefresh = std::chrono::seconds(4);
-/// Prefixes change all the time and are long: sent this often at most.
+/// Minimum time between two transmissions of a replica's prefixes, which are large and
+/// change constantly.
 inline constexpr core::Duration kPrefixInterval = std::chrono::seconds(5);
 
-/// \return the members that watch \p replica, first the one to subscribe with.
+/// \return the members that watch \p replica; subscribe with the first one
 std::vector<wire::Member> watchers_of(const core::ReplicaId& replica,
                                       const std::vector<wire::Member>& members);
 
-/// The watcher's side.
+/// Watcher side: sends reports to subscribers.
 class DigestPublisher {
  public:
   DigestPublisher(double bytes_per_second, std::size_t packet_bytes);
@@ -43,8 +44,9 @@
     core::Address to;
     wire::DigestPush message;
   };
-  /// \param watched what this daemon reads itself
-  /// \return what to send now. Whom the budget leaves out comes first next time.
+  /// \param watched reports that this daemon read itself
+  /// \return the messages to send now. Subscribers skipped because the budget ran out are
+  /// served first in the next call.
   std::vector<Push> due(const std::map<core::ReplicaId, TimedReport>& watched,
                         core::MonotonicTime now);
   std::size_t subscriber_count() const { return subscribers_.size(); }
@@ -63,20 +65,20 @@
     std::map<core::ReplicaId, Subscription> subscriptions;
   };
   void expire(core::MonotonicTime now);
-  bool due_now(const Subscription& subscription, const TimedReport& report,
-               core::MonotonicTime now) const;
-  wire::ReplicaReport to_send(const Subscription& subscription, const TimedReport& report,
-                              core::MonotonicTime now) const;
+  bool is_due(const Subscription& subscription, const TimedReport& report,
+              core::MonotonicTime now) const;
+  wire::ReplicaReport report_to_send(const Subscription& subscription, const TimedReport& report,
+                                     core::MonotonicTime now) const;
   void push_to(Subscriber& subscriber, const std::map<core::ReplicaId, TimedReport>& watched,
                core::MonotonicTime now, std::vector<Push>& pushes);
 
   ByteBudget budget_;
   std::size_t packet_bytes_;
   std::map<core::NodeId, Subscriber> subscribers_;
-  core::NodeId resume_after_;  ///< the last subscriber served before the budget ended
+  core::NodeId resume_after_;  ///< last subscriber served before the budget ran out
 };
 
-/// The subscriber's side: which subscriptions to send now.
+/// Subscriber side: decides which subscriptions to send.
 class DigestSubscriber {
  public:
   explicit DigestSubscriber(core::NodeId self) : self_(std::move(self)) {}
@@ -85,16 +87,16 @@
     core::Address to;
     wire::DigestSubscription message;
   };
-  /// To be called about once a second.
+  /// Call about once per second.
   std::vector<Request> due(const std::vector<core::ReplicaId>& wanted,
                            const std::vector<wire::Member>& members, const ReplicaReports& reports,
                            core::MonotonicTime now);
 
  private:
-  bool first_is_enough(const core::ReplicaId& replica, const wire::Member& first,
-                       const ReplicaReports& reports, core::MonotonicTime now) const;
+  bool first_watcher_suffices(const core::ReplicaId& replica, const wire::Member& first,
+                              const ReplicaReports& reports, core::MonotonicTime now) const;
   core::NodeId self_;
-  /// When each subscription was last sent, by watcher and replica.
+  /// Time at which each subscription was last sent, by watcher and replica.
   std::map<std::pair<core::NodeId, core::ReplicaId>, core::MonotonicTime> sent_;
 };
 
--- a/src/controllers/digest_simulation.cpp
+++ b/src/controllers/digest_simulation.cpp
@@ -74,7 +74,7 @@
     }
   }
 
-  /// Rendezvous ranking of replicas by node, as the routing subset chooses.
+  /// Chooses each node's replicas by rendezvous hashing, like the routing subset.
   void choose_wanted() {
     for (SimulatedNode& node : nodes_) {
       for (std::size_t group = 0; group < settings_.groups; ++group) {
@@ -165,8 +165,8 @@
     for (const SimulatedNode& node : nodes_) {
       measurement.sent_bytes_mean += static_cast<double>(node.sent) / node_seconds;
       measurement.received_bytes_mean += static_cast<double>(node.received) / node_seconds;
-      measurement.sent_bytes_most =
-          std::max(measurement.sent_bytes_most, static_cast<double>(node.sent) / seconds);
+      measurement.max_sent_bytes =
+          std::max(measurement.max_sent_bytes, static_cast<double>(node.sent) / seconds);
       for (const core::ReplicaId& id : node.wanted) {
         ++wanted;
         const TimedReport* report = node.reports.best(id, now_);
--- a/src/controllers/drain_controller.hpp
+++ b/src/controllers/drain_controller.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Begins the planned stop of this daemon, whoever asks for it first: a signal,
-/// an operator, another daemon, a drain mark that came by gossip, or the machine
-/// list. What the stop then does is the daemon's. Owned by the control thread.
+/// Starts this daemon's planned shutdown on the first request, whether from a signal, an
+/// operator, another daemon, a drain mark received by gossip, or the machine list. The
+/// daemon defines what the shutdown does. Owned by the control thread.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,16 @@
 
 class DrainController {
  public:
-  /// \param begin_stop starts the daemon's planned stop; called once at most
+  /// \param begin_stop starts the daemon's planned shutdown; called at most once
   DrainController(GossipController& gossip, std::function<void()> begin_stop)
       : gossip_(gossip), begin_stop_(std::move(begin_stop)) {}
 
-  /// Watches for a drain mark on this daemon.
+  /// Starts watching for a drain mark on this daemon.
   void start();
-  /// Tells the members that this daemon leaves, and begins its planned stop;
+  /// Announces to the members that this daemon is leaving and starts its planned shutdown;
   /// further calls have no effect.
   void begin_drain(const std::string& reason);
-  /// \return whether the planned stop has begun.
+  /// \return whether the planned shutdown has started
   bool draining() const { return draining_; }
 
  private:
--- a/src/controllers/event_warm_up_controller.cpp
+++ b/src/controllers/event_warm_up_controller.cpp
@@ -13,10 +13,10 @@
 
 using rollout::WarmUpState;
 
-constexpr core::Duration kPace = std::chrono::milliseconds(250);
-/// Connections to the engines are opened over at most this long, and over no
-/// more than half of what is left until the start.
-constexpr core::Duration kLongestSpread = std::chrono::seconds(5);
+constexpr core::Duration kRoundInterval = std::chrono::milliseconds(250);
+/// Connections to the engines are opened over at most this time and at most half of the
+/// time that remains until the event starts.
+constexpr core::Duration kMaxConnectSpread = std::chrono::seconds(5);
 
 prometheus::Counter& entered(core::Metrics& metrics, WarmUpState state) {
   return metrics.counter("stoneport_event_phases_total", "Phases that scheduled events entered",
@@ -35,12 +35,13 @@
       : warming(entered(metrics, WarmUpState::kWarming)),
         warm(entered(metrics, WarmUpState::kWarm)),
         started(entered(metrics, WarmUpState::kStarted)),
-        started_cold(metrics.counter("stoneport_event_cold_starts_total",
-                                     "Scheduled events that started with something cold")),
+        started_cold(
+            metrics.counter("stoneport_event_cold_starts_total",
+                            "Scheduled events that started before their warm-up was complete")),
         connections(metrics.counter("stoneport_event_connections_total",
-                                    "Engines reached ahead of a scheduled event")),
+                                    "Engines connected to ahead of a scheduled event")),
         failures(metrics.counter("stoneport_event_connection_failures_total",
-                                 "Engines not reached ahead of a scheduled event")) {}
+                                 "Failed connections to engines ahead of a scheduled event")) {}
   prometheus::Counter& warming;
   prometheus::Counter& warm;
   prometheus::Counter& started;
@@ -71,7 +72,7 @@
 asio::awaitable<void> EventWarmUpController::run(std::weak_ptr<bool> alive) {
   while (!alive.expired()) {
     run_round();
-    co_await runtime::sleep_for(kPace);
+    co_await runtime::sleep_for(kRoundInterval);
   }
 }
 
@@ -175,13 +176,13 @@
       meters_->started_cold.Increment();
     }
     spdlog::info("event {}: started {}", event.value(),
-                 before == WarmUpState::kWarm ? "warm" : "before all was warm");
+                 before == WarmUpState::kWarm ? "warm" : "before its warm-up was complete");
   }
 }
 
 void EventWarmUpController::connect(const std::vector<core::Address>& engines,
                                     core::Duration left) {
-  const double spread = core::to_seconds(std::min(kLongestSpread, left / 2));
+  const double spread = core::to_seconds(std::min(kMaxConnectSpread, left / 2));
   for (const core::Address& address : engines) {
     if (reaching_.insert(address).second) {
       const core::Duration pause = core::from_seconds(spread * random_.fraction());
--- a/src/controllers/event_warm_up_controller.hpp
+++ b/src/controllers/event_warm_up_controller.hpp
@@ -1,8 +1,7 @@
 /// \file
-/// Sees to it that a scheduled event starts with nothing cold: within the
-/// event's warm-up it follows the weights and the configuration and opens the
-/// connections of the steps' client. Decides by rollout::decide_warm_up. Owned
-/// by the control thread.
+/// Warms up scheduled events. During an event's warm-up period it monitors weights and
+/// configuration and opens connections from the step client to the engines.
+/// rollout::decide_warm_up makes the decisions. Owned by the control thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -23,12 +22,12 @@
 
 namespace stoneport::controllers {
 
-/// Where the controller reads what it needs, and how it reaches engines.
+/// Sources of the controller's inputs, and its access to engines.
 struct EventWarmUpInputs {
   std::function<std::shared_ptr<const config::Configuration>()> configuration;
   std::function<std::shared_ptr<const routing::RoutingTable>()> routing;
-  /// Reaches an engine from the steps' own client; resumes on the control
-  /// thread with whether it answered. Empty on a daemon without steps.
+  /// Connects to an engine through the step client; resumes on the control thread with
+  /// whether the engine answered. Empty on a daemon without steps.
   std::function<boost::asio::awaitable<bool>(const core::Address&)> reach;
 };
 
@@ -43,9 +42,9 @@
 
   void start();
   void stop() { alive_.reset(); }
-  /// One look at every event; start() does this again and again.
+  /// Checks every event once; start() calls this periodically.
   void run_round();
-  /// \return what the last round found of \p event; nothing before there was one.
+  /// \return the decision of the last round about \p event; none before the first round
   std::optional<rollout::WarmUpDecision> find(const core::EventName& event) const;
 
  private:
--- a/src/controllers/fenced_ownership.hpp
+++ b/src/controllers/fenced_ownership.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a controller needs of leases: to name those it should hold, and to ask
-/// for the fencing epoch before each effect. Control thread only.
+/// Lease operations that a controller needs: declaring the leases it should hold, and
+/// obtaining the fencing epoch before each effect. Control thread only.
 #pragma once
 
 #include <optional>
@@ -16,8 +16,8 @@
   virtual ~FencedOwnership() = default;
   /// Replaces the set of leases that this controller should hold.
   virtual void set_wanted(std::set<std::string> names) = 0;
-  /// \return the epoch under which an effect that the other side fences, and
-  /// that may happen twice, is allowed now; nothing when it is not.
+  /// \return the fencing epoch for an effect that the receiver checks against the epoch and
+  /// that may safely happen twice; none when no such effect is allowed now
   virtual std::optional<core::Epoch> fenced_epoch(const std::string& name) const = 0;
 };
 
--- a/src/controllers/gossip_controller.cpp
+++ b/src/controllers/gossip_controller.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr core::Duration kTick = std::chrono::milliseconds(50);
-/// Of ten parts of the byte rate, how many are the membership's.
-constexpr std::uint32_t kMembershipTenths = 6;
+/// Tenths of the byte rate that are reserved for membership.
+constexpr std::uint32_t kMembershipShareTenths = 6;
 constexpr std::uint32_t kTenths = 10;
 
 }  // namespace
@@ -17,12 +17,12 @@
 GossipSettings gossip_settings(const config::DaemonSettings& settings) {
   GossipSettings gossip;
   gossip.probe_interval = settings.gossip_interval;
-  gossip.bytes_per_second = settings.gossip_bytes_per_second * kMembershipTenths / kTenths;
+  gossip.bytes_per_second = settings.gossip_bytes_per_second * kMembershipShareTenths / kTenths;
   return gossip;
 }
 
 std::uint32_t digest_bytes_per_second(const config::DaemonSettings& settings) {
-  return settings.gossip_bytes_per_second * (kTenths - kMembershipTenths) / kTenths;
+  return settings.gossip_bytes_per_second * (kTenths - kMembershipShareTenths) / kTenths;
 }
 
 wire::Member make_self(const config::DaemonSettings& settings, core::Address gossip_address,
@@ -38,7 +38,7 @@
   return self;
 }
 
-/// Copies the state's counts into the process's metrics.
+/// Exports the state's counters as metrics of the process.
 struct GossipController::Meters {
   explicit Meters(core::Metrics& metrics)
       : packets_sent(packets(metrics, "sent")),
@@ -48,9 +48,10 @@
         malformed(dropped(metrics, "malformed")),
         misdirected(dropped(metrics, "misdirected")),
         refutations(metrics.counter("stoneport_gossip_refutations_total",
-                                    "Suspicions of this node that it refuted")),
-        pauses(metrics.counter("stoneport_gossip_pauses_total",
-                               "Times that this process stood still for longer than a tick")) {}
+                                    "Suspicions of this node that the node refuted")),
+        pauses(metrics.counter(
+            "stoneport_gossip_pauses_total",
+            "Pauses of this process that exceeded the allowed gap between ticks")) {}
 
   static prometheus::Counter& packets(core::Metrics& metrics, const std::string& direction) {
     return metrics.counter("stoneport_gossip_packets_total", "Gossip packets",
@@ -117,7 +118,7 @@
   if (!alive_) {
     return;
   }
-  send(state_.farewell());
+  send(state_.leave_packets());
   transport_.set_receiver(nullptr);
   alive_.reset();
 }
@@ -126,7 +127,7 @@
   while (!alive.expired()) {
     send(state_.on_tick(time_.now()));
     meters_->update(state_.counts());
-    tell_listeners();
+    notify_listeners();
     co_await runtime::sleep_for(kTick);
   }
 }
@@ -137,7 +138,7 @@
   if (output.received && message_listener_) {
     message_listener_(*output.received);
   }
-  tell_listeners();
+  notify_listeners();
 }
 
 void GossipController::send(const std::vector<OutgoingPacket>& packets) {
@@ -157,9 +158,9 @@
   return true;
 }
 
-void GossipController::tell_listeners() {
+void GossipController::notify_listeners() {
   if (telling_) {
-    return;  // the call below us goes round again
+    return;  // the outer call repeats its loop
   }
   telling_ = true;
   bool told = true;
@@ -182,28 +183,28 @@
 
 void GossipController::announce_configuration(core::Revision revision) {
   state_.announce_configuration(revision);
-  tell_listeners();
+  notify_listeners();
 }
 
 void GossipController::announce_leaving() {
   state_.announce_leaving();
-  tell_listeners();
+  notify_listeners();
 }
 
 bool GossipController::mark_leaving(const core::NodeId& node) {
   const bool known = state_.mark_leaving(node);
-  tell_listeners();
+  notify_listeners();
   return known;
 }
 
 void GossipController::announce_policy_version(const wire::PolicyVersion& version) {
   state_.announce_policy_version(version);
-  tell_listeners();
+  notify_listeners();
 }
 
 void GossipController::mark_replica_draining(const wire::ReplicaDrainMark& mark) {
   state_.mark_replica_draining(mark);
-  tell_listeners();
+  notify_listeners();
 }
 
 void GossipController::on_change(Listener listener) {
@@ -220,7 +221,7 @@
 
 void GossipController::announce_zone(const wire::ZoneNotice& notice) {
   state_.announce_zone(notice);
-  tell_listeners();
+  notify_listeners();
 }
 
 void GossipController::on_zone_change(Listener listener) {
--- a/src/controllers/gossip_controller.hpp
+++ b/src/controllers/gossip_controller.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Runs one GossipState on a transport: ticks it, hands packets over, tells
-/// listeners of changes, counts. Owned by the control thread.
+/// Runs one GossipState on a transport: drives its timer, passes packets in and out,
+/// notifies listeners of changes, and exports metrics. Owned by the control thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -16,13 +16,13 @@
 
 namespace stoneport::controllers {
 
-/// \return gossip's settings out of the daemon's: membership gets three fifths
-/// of the byte rate, the watchers' digests the rest.
+/// \return gossip settings derived from the daemon's; membership gets three fifths of the
+/// byte rate, the watchers' digests get the rest
 GossipSettings gossip_settings(const config::DaemonSettings& settings);
-/// \return the digests' share of the byte rate.
+/// \return the digests' share of the byte rate
 std::uint32_t digest_bytes_per_second(const config::DaemonSettings& settings);
-/// \return this process's own record, with the first incarnation of the life
-/// that starts at \p start.
+/// \return the record of this process, with the first incarnation of the process life that
+/// starts at \p start
 wire::Member make_self(const config::DaemonSettings& settings, core::Address gossip_address,
                        core::Address peer_address, core::WallTime start);
 
@@ -38,20 +38,22 @@
   GossipController(const GossipController&) = delete;
   GossipController& operator=(const GossipController&) = delete;
 
-  /// Starts receiving and ticking.
+  /// Starts receiving packets and running the timer.
   void start();
-  /// Tells some members of our end, then stops. Call after announce_leaving().
+  /// Notifies some members that this process is ending, then stops. Call after
+  /// announce_leaving().
   void stop();
 
   wire::Member self() const override { return state_.self(); }
   std::vector<wire::Member> members() const override;
-  /// \return the same by node and without a copy; valid until the next packet or tick.
+  /// \return the members by node, without a copy; valid until the next packet or tick
   const wire::MemberMap& members_by_node() const { return state_.records().members(); }
   void announce_configuration(core::Revision revision) override;
   void announce_leaving() override;
   void on_change(Listener listener) override;
 
-  /// Marks another daemon as leaving. \return whether it is known.
+  /// Marks another daemon as leaving.
+  /// \return whether the node is known
   bool mark_leaving(const core::NodeId& node);
   void set_seeds(std::vector<core::Address> seeds) { state_.set_seeds(std::move(seeds)); }
 
@@ -62,28 +64,31 @@
   void on_policy_change(Listener listener);
 
   void mark_replica_draining(const wire::ReplicaDrainMark& mark);
-  /// \return the highest drained incarnation of each marked replica.
+  /// \return the highest drained incarnation of each marked replica
   const std::map<core::ReplicaId, core::Incarnation>& drain_marks() const {
     return state_.records().drain_marks();
   }
   void on_drain_mark_change(Listener listener);
 
   void announce_zone(const wire::ZoneNotice& notice);
-  /// \return the latest notice about each zone that was ever evacuated.
+  /// \return the latest notice about each zone that was ever evacuated
   const std::map<core::ZoneName, wire::ZoneNotice>& zone_notices() const {
     return state_.records().zone_notices();
   }
   void on_zone_change(Listener listener);
 
-  /// Sends a watcher's message; its bytes are the caller's to limit.
-  /// \return the bytes sent.
+  /// Sends a watcher's message; the caller limits its bytes.
+  /// \return the number of bytes sent
   std::size_t send_message(const core::Address& to, wire::GossipMessage message);
   void on_message(MessageListener listener) { message_listener_ = std::move(listener); }
 
-  /// \return whether the records hold the news of the last pause of this process.
+  /// \return whether the records include the changes that happened during the last pause of
+  /// this process
   bool current() const { return state_.current(time_.now()); }
-  /// \return how long no other member has answered this one.
-  core::Duration answer_silence() const { return state_.answer_silence(time_.now()); }
+  /// \return the time since another member last answered this one
+  core::Duration time_since_last_answer() const {
+    return state_.time_since_last_answer(time_.now());
+  }
   const GossipCounts& counts() const { return state_.counts(); }
 
  private:
@@ -95,9 +100,9 @@
   boost::asio::awaitable<void> run(std::weak_ptr<bool> alive);
   void receive(const core::Address& from, std::string_view bytes);
   void send(const std::vector<OutgoingPacket>& packets);
-  /// Calls the listeners of what changed since the last call. A listener may
+  /// Calls the listeners for everything that changed since the last call. A listener may
   /// change the state again.
-  void tell_listeners();
+  void notify_listeners();
   static bool tell(Topic& topic, std::uint64_t version);
 
   boost::asio::any_io_executor executor_;
@@ -111,7 +116,7 @@
   Topic zone_topic_;
   MessageListener message_listener_;
   bool telling_ = false;
-  std::shared_ptr<bool> alive_;  ///< reset by stop(); ends run()
+  std::shared_ptr<bool> alive_;  ///< reset by stop(), which ends run()
 };
 
 }  // namespace stoneport::controllers
--- a/src/controllers/gossip_endpoint.cpp
+++ b/src/controllers/gossip_endpoint.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// One byte longer than the longest packet, so that a longer one is seen as such.
+/// One byte more than the longest valid packet, so that oversized packets are detected.
 constexpr std::size_t kReceiveBytes = wire::kMaxPacketBytes + 1;
 
 boost::system::error_code to_endpoint(const core::Address& address, udp::endpoint& endpoint) {
@@ -40,7 +40,7 @@
 GossipEndpoint::GossipEndpoint(asio::any_io_executor executor, core::Metrics& metrics)
     : channel_(std::make_shared<Channel>(executor)),
       send_failures_(metrics.counter("stoneport_gossip_send_failures_total",
-                                     "Gossip packets that the socket refused")) {}
+                                     "Gossip packets that the socket rejected")) {}
 
 GossipEndpoint::~GossipEndpoint() {
   close();
@@ -99,8 +99,8 @@
   while (channel->socket.is_open()) {
     const auto [error, length] = co_await channel->socket.async_receive_from(
         asio::buffer(buffer), from, asio::as_tuple(asio::use_awaitable));
-    // Errors other than a closed socket are echoes of an earlier send to a
-    // port where nobody listens.
+    // Errors other than a closed socket are ICMP errors caused by an earlier packet to a
+    // port without a listener.
     if (!error && channel->receiver) {
       channel->receiver(to_address(from), std::string_view(buffer.data(), length));
     }
--- a/src/controllers/gossip_endpoint.hpp
+++ b/src/controllers/gossip_endpoint.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gossip over UDP. Owns the socket; control thread only.
+/// Gossip transport over UDP. Owns the socket; control thread only.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,9 +18,9 @@
   GossipEndpoint(boost::asio::any_io_executor executor, core::Metrics& metrics);
   ~GossipEndpoint() override;
 
-  /// Binds and starts receiving. Port 0 takes any free one.
+  /// Binds the socket and starts receiving. Port 0 selects any free port.
   core::Result<void> open(const core::Address& address);
-  /// \return the bound address.
+  /// \return the bound address
   core::Address local_address() const;
   void close();
 
--- a/src/controllers/gossip_probes.cpp
+++ b/src/controllers/gossip_probes.cpp
@@ -10,12 +10,12 @@
       ack_timeout_(ack_timeout),
       failure_timeout_(failure_timeout) {}
 
-bool GossipProbes::waits(const core::NodeId& node) const {
+bool GossipProbes::awaits_retry(const core::NodeId& node) const {
   return std::find(retries_.begin(), retries_.end(), node) != retries_.end();
 }
 
 void GossipProbes::retry(const core::NodeId& target) {
-  if (!waits(target)) {
+  if (!awaits_retry(target)) {
     retries_.push_back(target);
   }
 }
@@ -23,16 +23,17 @@
 std::optional<core::NodeId> GossipProbes::next_of_round(const std::vector<core::NodeId>& candidates,
                                                         const core::NodeId& self,
                                                         core::RandomSource& random) {
-  // Members may have left since the round was made: their probes are skipped.
+  // Members may have left since the round was built; their probes are skipped.
   const auto is_skipped = [&](const core::NodeId& node) {
-    return waits(node) || !std::binary_search(candidates.begin(), candidates.end(), node);
+    return awaits_retry(node) || !std::binary_search(candidates.begin(), candidates.end(), node);
   };
   while (!round_.empty() && is_skipped(round_.back())) {
     round_.pop_back();
   }
   if (round_.empty()) {
     round_ = candidates;
-    std::erase_if(round_, [&](const core::NodeId& node) { return node == self || waits(node); });
+    std::erase_if(round_,
+                  [&](const core::NodeId& node) { return node == self || awaits_retry(node); });
     shuffle(round_, random);
   }
   if (round_.empty()) {
--- a/src/controllers/gossip_probes.hpp
+++ b/src/controllers/gossip_probes.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Probes in flight: whom to ask next, which answers are late, and answers to
-/// be handed on. Plain state; owned by one GossipState.
+/// Tracks probes in flight: selects the next target, finds overdue answers, and routes
+/// answers to relayed probes. Owned by one GossipState.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 
 class GossipProbes {
  public:
-  /// \param ack_timeout after which others are asked to probe as well
-  /// \param failure_timeout after which the probe has failed
+  /// \param ack_timeout time until other members are asked to probe as well
+  /// \param failure_timeout time until the probe counts as failed
   GossipProbes(core::Duration probe_interval, core::Duration ack_timeout,
                core::Duration failure_timeout);
 
@@ -27,32 +27,34 @@
     core::NodeId target;
   };
   struct Relay {
-    std::uint32_t sequence = 0;  ///< the asking node's
+    std::uint32_t sequence = 0;  ///< the requesting node's
     core::Address asking;
   };
 
-  /// \return the probes to send, once an interval: the next one of \p candidates but
-  /// \p self and those that wait for another probe, in a shuffled order that is made anew
-  /// after each round, and one of those that wait.
-  /// \param candidates in order
+  /// \return the probes to send, once per interval: one from the current round, and one of
+  /// the targets that await a retry. A round covers all \p candidates except \p self and
+  /// those that await a retry, in random order, and is reshuffled when it is complete.
+  /// \param candidates sorted
   std::vector<Probe> next(const std::vector<core::NodeId>& candidates, const core::NodeId& self,
                           core::RandomSource& random, core::MonotonicTime now);
-  /// \return probes whose direct answer is late; each is returned once.
+  /// \return probes whose direct answer is overdue; each is returned once
   std::vector<Probe> take_late(core::MonotonicTime now);
-  /// \return targets of probes that failed; each is returned once.
+  /// \return targets of failed probes; each is returned once
   std::vector<core::NodeId> take_failed(core::MonotonicTime now);
-  /// Probes \p target again soon, beside the round: the probe tells it that it is
-  /// suspected, and its answer ends the suspicion of a leaving member. Within the round,
-  /// the first members of a lost zone would take up the probes for all others of it.
+  /// Schedules another probe of \p target soon, outside the round. The probe informs the
+  /// target that it is suspected, and its answer ends the suspicion of a leaving member.
+  /// Within the round, the first members of a lost zone would use up the probes for all its
+  /// other members.
   void retry(const core::NodeId& target);
-  /// \return the sequence of a ping that is no probe: its failure says nothing.
+  /// \return a sequence number for a ping whose failure has no consequences
   std::uint32_t next_sequence() { return ++last_sequence_; }
-  /// Registers a ping on another node's behalf. \return the sequence to use.
+  /// Registers a ping sent on behalf of another node.
+  /// \return the sequence number to use
   std::uint32_t add_relay(Relay relay, core::MonotonicTime now);
-  /// Ends the probe or relay of \p sequence.
-  /// \return whom to hand the answer on to, for a relay.
+  /// Completes the probe or relay with number \p sequence.
+  /// \return the node to forward the answer to, for a relay
   std::optional<Relay> acknowledge(std::uint32_t sequence, const core::NodeId& target);
-  /// Forgets everything in flight.
+  /// Drops all probes and relays in flight.
   void clear();
 
  private:
@@ -65,8 +67,8 @@
     Relay relay;
     core::MonotonicTime sent_at;
   };
-  bool waits(const core::NodeId& node) const;
-  /// \return the next of the round, if any is left to probe.
+  bool awaits_retry(const core::NodeId& node) const;
+  /// \return the next target of the round, if one is left
   std::optional<core::NodeId> next_of_round(const std::vector<core::NodeId>& candidates,
                                             const core::NodeId& self, core::RandomSource& random);
   std::optional<core::NodeId> next_retry(const std::vector<core::NodeId>& candidates);
@@ -83,7 +85,7 @@
   std::map<std::uint32_t, PendingRelay> relays_;
 };
 
-/// Puts \p items into a random order.
+/// Shuffles \p items.
 template <class Item>
 void shuffle(std::vector<Item>& items, core::RandomSource& random) {
   for (std::size_t count = items.size(); count > 1; --count) {
--- a/src/controllers/gossip_records.cpp
+++ b/src/controllers/gossip_records.cpp
@@ -69,8 +69,8 @@
 bool GossipRecords::merge(const wire::ZoneNotice& notice) {
   const auto known = zone_notices_.find(notice.zone);
   const bool is_known = known != zone_notices_.end();
-  const bool is_dropped =
-      is_known ? notice.revision <= known->second.revision : zone_notices_.size() >= kMostZones;
+  const bool is_dropped = is_known ? notice.revision <= known->second.revision
+                                   : zone_notices_.size() >= kMaxZoneNotices;
   if (is_dropped) {
     return false;
   }
--- a/src/controllers/gossip_records.hpp
+++ b/src/controllers/gossip_records.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// What gossip spreads: member records, policy versions, drain marks of replicas and
-/// notices of evacuated zones, each with its merge rule. Plain state without clock or socket;
-/// owned by one GossipState.
+/// Records spread by gossip, each with its merge rule: members, policy versions, drain
+/// marks of replicas, and notices of evacuated zones. No clock or socket; owned by one
+/// GossipState.
 #pragma once
 
 #include <array>
@@ -17,20 +17,21 @@
 
 namespace stoneport::controllers {
 
-/// Names one record.
+/// Identifies one record.
 using RecordKey = std::variant<core::NodeId, core::PolicyName, core::ReplicaId, core::ZoneName>;
 
-/// Anti-entropy compares this many hashes.
+/// Number of hashes that anti-entropy compares.
 inline constexpr std::size_t kSyncBuckets = 32;
-/// Notices of more zones than this are not taken in: each stays for the process's life.
-inline constexpr std::size_t kMostZones = 64;
+/// Maximum number of zones with a notice; notices of further zones are rejected, because
+/// each is kept for the life of the process.
+inline constexpr std::size_t kMaxZoneNotices = 64;
 using BucketHashes = std::array<std::uint32_t, kSyncBuckets>;
 
 class GossipRecords {
  public:
   const wire::MemberMap& members() const { return members_; }
-  /// \return the nodes of all members that do not count as dead, in order; kept up to date
-  /// with each change, so that asking costs nothing.
+  /// \return the nodes of all members that are not dead, sorted; maintained on every
+  /// change, so that calls are cheap
   const std::vector<core::NodeId>& live_nodes() const { return live_nodes_; }
   const std::map<core::PolicyName, core::WeightVersion>& policy_versions() const {
     return policy_versions_;
@@ -39,31 +40,32 @@
 
   const std::map<core::ZoneName, wire::ZoneNotice>& zone_notices() const { return zone_notices_; }
 
-  /// \return the record of \p node, or null.
+  /// \return the record of \p node, or null
   const wire::Member* find(const core::NodeId& node) const;
-  /// Each merge returns whether anything changed.
+  /// Merges a record. All overloads return whether anything changed.
   bool merge(const wire::Member& member);
   bool merge(const wire::PolicyVersion& version);
   bool merge(const wire::ReplicaDrainMark& mark);
   bool merge(const wire::ZoneNotice& notice);
-  /// Raises the configuration revision of the member whose life_key() is
-  /// \p holder; of one that is not known, or of another life, it is ignored.
-  /// \return the node, if anything changed.
+  /// Raises the configuration revision of the member whose life_key() is \p holder. Ignored
+  /// when that member is unknown or has a different life.
+  /// \return the node, if anything changed
   std::optional<core::NodeId> merge_revision(std::uint64_t holder, core::Revision revision);
-  /// Overwrites a record past the merge rule; for what only its owner decides.
+  /// Overwrites a record without applying the merge rule, for changes that only the
+  /// record's owner may make.
   void replace(const wire::Member& member);
   void erase(const core::NodeId& node);
 
-  /// Hashes over all records but the dead ones, which may be forgotten at
-  /// different times, and without suspicions, which pass.
+  /// Hashes of all records, except dead members, which each node forgets at a different
+  /// time, and without suspicions, which are temporary.
   BucketHashes bucket_hashes() const;
-  /// \return the keys of every record in \p bucket, dead ones included.
+  /// \return the keys of all records in \p bucket, including dead members
   std::vector<RecordKey> keys_in_bucket(std::size_t bucket) const;
 
-  /// Puts the record of \p key into \p packet when it fits into \p space bytes.
-  /// \return the bytes used; 0 when it does not fit or is gone.
+  /// Adds the record of \p key to \p packet if it fits into \p space bytes.
+  /// \return the number of bytes used; 0 when it does not fit or no longer exists
   std::size_t append(const RecordKey& key, wire::GossipPacket& packet, std::size_t space) const;
-  /// The same for the configuration revision of \p node alone.
+  /// Adds only the configuration revision of \p node, otherwise like append().
   std::size_t append_revision(const core::NodeId& node, wire::GossipPacket& packet,
                               std::size_t space) const;
 
--- a/src/controllers/gossip_simulation.cpp
+++ b/src/controllers/gossip_simulation.cpp
@@ -8,7 +8,8 @@
 constexpr std::uint16_t kGossipPort = 7000;
 constexpr std::size_t kZones = 6;
 constexpr std::size_t kRegions = 2;
-/// A frozen process's socket holds this many packets, as a small kernel buffer.
+/// Number of packets that the socket of a frozen process buffers, like a small kernel
+/// buffer.
 constexpr std::size_t kSocketPackets = 128;
 
 core::Address address_of(std::size_t index) {
@@ -113,7 +114,7 @@
   return now_ - start;
 }
 
-bool GossipSimulation::sees_truth(std::size_t observer) const {
+bool GossipSimulation::has_correct_view(std::size_t observer) const {
   const GossipRecords& records = state(observer).records();
   for (std::size_t index = 0; index < nodes_.size(); ++index) {
     const wire::Member* known = records.find(node_name(index));
@@ -132,7 +133,7 @@
 
 bool GossipSimulation::converged() const {
   for (std::size_t index = 0; index < nodes_.size(); ++index) {
-    if (nodes_[index].running && !sees_truth(index)) {
+    if (nodes_[index].running && !has_correct_view(index)) {
       return false;
     }
   }
@@ -141,13 +142,13 @@
 
 namespace {
 
-/// Counts bytes by the second over a run.
+/// Counts the bytes sent in each second of a run.
 class ByteMeter {
  public:
   explicit ByteMeter(const GossipSimulation& simulation) : simulation_(simulation) {
     last_.resize(simulation.size());
   }
-  /// To be called once a virtual second.
+  /// Call once per virtual second.
   void sample() {
     for (std::size_t index = 0; index < last_.size(); ++index) {
       const std::uint64_t sent = simulation_.state(index).counts().bytes_sent;
@@ -170,7 +171,7 @@
   std::uint64_t busiest_ = 0;
 };
 
-/// The stages of one measured run.
+/// Runs the phases of one measurement.
 class Measurement {
  public:
   explicit Measurement(const GossipSimulationSettings& settings)
@@ -188,14 +189,14 @@
     measure_revision();
     rest();
     measure_failures();
-    result_.busiest_bytes_per_second = static_cast<double>(meter_.busiest());
+    result_.peak_bytes_per_second = static_cast<double>(meter_.busiest());
     return result_;
   }
 
  private:
   static constexpr core::Duration kLimit = std::chrono::minutes(3);
-  static constexpr core::Duration kQuiet = std::chrono::seconds(30);
-  static constexpr std::size_t kFailingShare = 10;  ///< one in so many
+  static constexpr core::Duration kIdlePeriod = std::chrono::seconds(30);
+  static constexpr std::size_t kFailureDivisor = 10;  ///< one in this many fails
 
   std::optional<core::Duration> until(const std::function<bool()>& condition) {
     const auto sample_and_check = [&] {
@@ -209,7 +210,7 @@
   }
 
   void rest() {
-    const core::MonotonicTime end = simulation_.now() + kQuiet;
+    const core::MonotonicTime end = simulation_.now() + kIdlePeriod;
     until([&] { return simulation_.now() >= end; });
   }
 
@@ -219,7 +220,7 @@
     rest();
     result_.idle_bytes_per_second =
         static_cast<double>(meter_.total() - before) /
-        (core::to_seconds(kQuiet) * static_cast<double>(simulation_.size()));
+        (core::to_seconds(kIdlePeriod) * static_cast<double>(simulation_.size()));
   }
 
   bool all_hold(const std::function<bool(const GossipRecords&)>& holds) const {
@@ -239,7 +240,7 @@
     });
   }
 
-  /// Each daemon takes the revision over as soon as it hears of it.
+  /// Every daemon adopts the revision as soon as gossip reports it.
   void measure_revision() {
     const core::Revision revision(1);
     const auto heard = [&](const auto& entry) {
@@ -265,7 +266,7 @@
   }
 
   void measure_failures() {
-    for (std::size_t index = 1; index < simulation_.size(); index += kFailingShare) {
+    for (std::size_t index = 1; index < simulation_.size(); index += kFailureDivisor) {
       simulation_.stop(index);
     }
     result_.failures = until([this] { return simulation_.converged(); });
--- a/src/controllers/gossip_simulation.hpp
+++ b/src/controllers/gossip_simulation.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Many GossipStates on a virtual network in virtual time, for tests and for
-/// measurements at sizes that no test machine holds. Every run is repeatable
-/// from its seed. Owned by one thread.
+/// Simulates many GossipStates on a virtual network in virtual time, for tests and for
+/// measurements at scales that no test machine can hold. Runs are reproducible from their
+/// seed. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -17,8 +17,8 @@
 struct GossipSimulationSettings {
   std::size_t members = 3;
   std::uint64_t seed = 1;
-  std::size_t seeds = 2;  ///< how many addresses a new process is given
-  double loss = 0;        ///< share of packets lost
+  std::size_t seeds = 2;  ///< number of seed addresses given to a new process
+  double loss = 0;        ///< fraction of packets lost
   core::Duration latency = std::chrono::milliseconds(1);
   core::Duration tick = std::chrono::milliseconds(100);
   GossipSettings gossip;
@@ -34,28 +34,31 @@
   const GossipState& state(std::size_t index) const { return *nodes_[index].state; }
   static core::NodeId node_name(std::size_t index);
 
-  /// A frozen process neither ticks nor reads; packets wait in its socket.
+  /// Suspends the process: it neither ticks nor reads, and packets wait in its socket.
   void freeze(std::size_t index) { nodes_[index].frozen = true; }
   void wake(std::size_t index) { nodes_[index].frozen = false; }
   bool frozen(std::size_t index) const { return nodes_[index].frozen; }
-  /// Ends the process without a farewell.
+  /// Ends the process without leave packets.
   void stop(std::size_t index) { nodes_[index].running = false; }
   bool running(std::size_t index) const { return nodes_[index].running; }
-  /// Starts a new process under the name of a stopped one, in the life after.
+  /// Starts a new process under the name of a stopped one, with the next life number.
   void restart(std::size_t index) { restart(index, nodes_[index].life + 1); }
-  /// The same in life \p life, which is lower where the new machine's clock is behind.
+  /// Starts a new process with life number \p life, which is lower than the previous one if
+  /// the new machine's clock is behind.
   void restart(std::size_t index, std::uint64_t life);
-  /// Nodes in different groups do not reach one another; all start in group 0.
+  /// Assigns a partition. Nodes in different groups cannot reach one another; all start in
+  /// group 0.
   void set_group(std::size_t index, std::uint32_t group) { nodes_[index].group = group; }
   void set_loss(double loss) { settings_.loss = loss; }
 
-  /// Moves time by one tick.
+  /// Advances time by one tick.
   void step();
-  /// Runs until \p condition holds. \return the time taken, nothing past \p limit.
+  /// Runs until \p condition holds.
+  /// \return the time taken, or nothing if \p limit is exceeded
   std::optional<core::Duration> run_until(const std::function<bool()>& condition,
                                           core::Duration limit);
-  /// \return whether every process that runs has the same, true picture of all:
-  /// those that run are not dead or suspect, those that do not are dead.
+  /// \return whether all running processes agree on the correct view: every running process
+  /// is neither dead nor suspect, every other one is dead
   bool converged() const;
 
  private:
@@ -74,7 +77,7 @@
   std::unique_ptr<GossipState> make_state(std::size_t index, std::uint64_t life);
   void post(std::size_t from, std::vector<OutgoingPacket> packets);
   void deliver(const Datagram& datagram);
-  bool sees_truth(std::size_t observer) const;
+  bool has_correct_view(std::size_t observer) const;
 
   GossipSimulationSettings settings_;
   core::RandomSource random_;
@@ -84,16 +87,18 @@
   std::multimap<core::MonotonicTime, Datagram> in_flight_;
 };
 
-/// What one measured run of a cluster came to.
+/// Results of one measured run of a cluster.
 struct GossipMeasurement {
   std::size_t members = 0;
-  std::optional<core::Duration> join;           ///< all know all, from one seed
-  std::optional<core::Duration> drain_mark;     ///< one drain mark known everywhere
-  std::optional<core::Duration> revision;       ///< one revision known of by everyone
-  std::optional<core::Duration> all_revisions;  ///< everyone's new revision known everywhere
-  std::optional<core::Duration> failures;       ///< a tenth killed at once, known dead everywhere
-  double idle_bytes_per_second = 0;             ///< sent by a node, nothing happening
-  double busiest_bytes_per_second = 0;          ///< sent by a node, most over any second
+  std::optional<core::Duration> join;        ///< from one seed until all know all
+  std::optional<core::Duration> drain_mark;  ///< until one drain mark is known everywhere
+  std::optional<core::Duration> revision;    ///< until one revision is known everywhere
+  /// until a new revision of every member is known everywhere
+  std::optional<core::Duration> all_revisions;
+  /// until a tenth, killed at once, is known dead everywhere
+  std::optional<core::Duration> failures;
+  double idle_bytes_per_second = 0;  ///< sent per node while nothing changes
+  double peak_bytes_per_second = 0;  ///< sent by one node, maximum over any second
 };
 
 GossipMeasurement measure_gossip(GossipSimulationSettings settings);
--- a/src/controllers/gossip_state.cpp
+++ b/src/controllers/gossip_state.cpp
@@ -9,22 +9,22 @@
 
 using wire::MemberState;
 
-/// Within this share of the probe interval a direct answer is expected.
-constexpr int kAckShare = 2;
-/// A probe has failed after this many intervals.
+/// A direct answer is expected within the probe interval divided by this.
+constexpr int kAckTimeoutDivisor = 2;
+/// A probe fails after this many intervals.
 constexpr int kFailureIntervals = 2;
-/// Budget that may be saved up, in seconds of its rate.
+/// Maximum accumulated budget, in seconds of the byte rate.
 constexpr double kBurstSeconds = 0.5;
 
-NewsPriority priority_of(const wire::Member* before, const wire::Member& after) {
+UpdatePriority priority_of(const wire::Member* before, const wire::Member& after) {
   if (before == nullptr) {
-    return after.leaving ? NewsPriority::kDrain : NewsPriority::kLiveness;
+    return after.leaving ? UpdatePriority::kDrain : UpdatePriority::kLiveness;
   }
   if (after.leaving && !before->leaving) {
-    return NewsPriority::kDrain;
+    return UpdatePriority::kDrain;
   }
   const bool same_life = after.incarnation == before->incarnation && after.state == before->state;
-  return same_life ? NewsPriority::kConfiguration : NewsPriority::kLiveness;
+  return same_life ? UpdatePriority::kConfiguration : UpdatePriority::kLiveness;
 }
 
 }  // namespace
@@ -33,24 +33,24 @@
     : self_(self.node),
       settings_(settings),
       random_(random_seed),
-      probes_(settings.probe_interval, settings.probe_interval / kAckShare,
+      probes_(settings.probe_interval, settings.probe_interval / kAckTimeoutDivisor,
               settings.probe_interval * kFailureIntervals),
       budget_(settings.bytes_per_second, settings.bytes_per_second * kBurstSeconds) {
   records_.replace(self);
-  news_.add(self_, NewsPriority::kLiveness);
+  updates_.add(self_, UpdatePriority::kLiveness);
 }
 
 void GossipState::set_seeds(std::vector<core::Address> seeds) {
   if (seeds == seeds_) {
-    return;  // a list that is polled names the same ones again and again
+    return;  // a polled list repeats the same addresses
   }
   seeds_ = std::move(seeds);
   next_reconnect_ = {};
 }
 
-void GossipState::update_self(const wire::Member& member, NewsPriority priority) {
+void GossipState::update_self(const wire::Member& member, UpdatePriority priority) {
   records_.replace(member);
-  news_.add(self_, priority);
+  updates_.add(self_, priority);
   ++members_version_;
 }
 
@@ -60,7 +60,7 @@
     return;
   }
   member.configuration_revision = revision;
-  update_self(member, NewsPriority::kConfiguration);
+  update_self(member, UpdatePriority::kConfiguration);
 }
 
 void GossipState::announce_leaving() {
@@ -70,7 +70,7 @@
   }
   member.leaving = true;
   member.state = MemberState::kLeaving;
-  update_self(member, NewsPriority::kDrain);
+  update_self(member, UpdatePriority::kDrain);
 }
 
 bool GossipState::mark_leaving(const core::NodeId& node) {
@@ -85,7 +85,7 @@
   wire::Member marked = *known;
   marked.leaving = true;
   if (records_.merge(marked)) {
-    news_.add(node, NewsPriority::kDrain);
+    updates_.add(node, UpdatePriority::kDrain);
     ++members_version_;
   }
   return true;
@@ -129,11 +129,12 @@
   }
   const wire::Member* known = records_.find(member.node);
   if (known == nullptr && member.state == MemberState::kDead) {
-    return;  // forgotten here already, or never known
+    return;  // already forgotten here, or never known
   }
   wire::Member offered = member;
-  // Death is believed on our own evidence or on the member's own farewell.
-  // Otherwise both sides of a healed cut would talk each other into it.
+  // A death is accepted only from our own probes or when the member itself announced that
+  // it was leaving. Otherwise both sides of a healed partition would spread each other's
+  // outdated death reports.
   if (offered.state == MemberState::kDead && !offered.leaving &&
       known->state != MemberState::kDead) {
     offered.state = MemberState::kSuspect;
@@ -145,7 +146,7 @@
   }
   ++members_version_;
   const wire::Member& after = *records_.find(member.node);
-  news_.add(member.node, priority_of(before ? &*before : nullptr, after));
+  updates_.add(member.node, priority_of(before ? &*before : nullptr, after));
   if (!before) {
     next_sync_ = std::min(next_sync_, now + settings_.catch_up_interval);
   }
@@ -154,7 +155,7 @@
     suspicion_ends_.erase(member.node);
   }
   if (after.state == MemberState::kSuspect) {
-    suspicion_ends_.try_emplace(member.node, now + suspicion_length());
+    suspicion_ends_.try_emplace(member.node, now + suspicion_timeout());
   }
   if (after.state == MemberState::kDead) {
     suspicion_ends_.erase(member.node);
@@ -169,48 +170,48 @@
   const std::uint64_t life = wire::life_of(member.incarnation);
   const std::uint64_t own_life = wire::life_of(updated.incarnation);
   if (life < own_life) {
-    return;  // about an earlier process under our name
+    return;  // refers to an earlier process with our name
   }
-  // What only we can raise was raised by somebody else: an earlier process
-  // under our name, with a clock ahead of ours or started at the same instant.
+  // Someone else has raised a value that only this process may raise: an earlier process
+  // with our name whose clock was ahead of ours, or which started at the same instant.
   const bool not_ours = member.incarnation > updated.incarnation ||
                         member.configuration_revision > updated.configuration_revision;
   if (life > own_life || not_ours) {
     updated.incarnation = wire::first_incarnation(life + 1);
-    update_self(updated, NewsPriority::kLiveness);
+    update_self(updated, UpdatePriority::kLiveness);
     return;
   }
   if (member.leaving && !updated.leaving) {
     updated.leaving = true;
     updated.state = MemberState::kLeaving;
-    update_self(updated, NewsPriority::kDrain);
+    update_self(updated, UpdatePriority::kDrain);
   }
   const bool doubted = member.state == MemberState::kSuspect || member.state == MemberState::kDead;
   if (doubted && member.incarnation >= updated.incarnation) {
-    // A leaving process refutes too, and is leaving still.
+    // A leaving process also refutes, and remains leaving.
     updated.incarnation = member.incarnation.next();
     ++counts_.refutations;
-    update_self(updated, NewsPriority::kLiveness);
+    update_self(updated, UpdatePriority::kLiveness);
   }
 }
 
 void GossipState::merge_policy(const wire::PolicyVersion& version) {
   if (records_.merge(version)) {
-    news_.add(version.policy, NewsPriority::kDrain);
+    updates_.add(version.policy, UpdatePriority::kDrain);
     ++policies_version_;
   }
 }
 
 void GossipState::merge_drain_mark(const wire::ReplicaDrainMark& mark) {
   if (records_.merge(mark)) {
-    news_.add(mark.replica, NewsPriority::kDrain);
+    updates_.add(mark.replica, UpdatePriority::kDrain);
     ++drain_marks_version_;
   }
 }
 
 void GossipState::merge_zone_notice(const wire::ZoneNotice& notice) {
   if (records_.merge(notice)) {
-    news_.add(notice.zone, NewsPriority::kDrain);
+    updates_.add(notice.zone, UpdatePriority::kDrain);
     ++zone_notices_version_;
   }
 }
@@ -219,11 +220,11 @@
   const std::uint64_t own_key = wire::life_key(self());
   for (const std::uint64_t holder : revision.holders) {
     if (holder == own_key) {
-      continue;  // only we say what is in force here
+      continue;  // only this process reports its own revision
     }
     const auto node = records_.merge_revision(holder, revision.revision);
     if (node) {
-      news_.add(*node, NewsPriority::kConfiguration);
+      updates_.add(*node, UpdatePriority::kConfiguration);
       ++members_version_;
     }
   }
@@ -234,7 +235,7 @@
   if (known == nullptr || known->state == MemberState::kDead) {
     return;
   }
-  suspicion_ends_.try_emplace(node, now + suspicion_length());
+  suspicion_ends_.try_emplace(node, now + suspicion_timeout());
   probes_.retry(node);
   if (known->state != MemberState::kAlive) {
     return;
@@ -242,7 +243,7 @@
   wire::Member suspected = *known;
   suspected.state = MemberState::kSuspect;
   records_.merge(suspected);
-  news_.add(node, NewsPriority::kLiveness);
+  updates_.add(node, UpdatePriority::kLiveness);
   ++members_version_;
 }
 
@@ -259,7 +260,7 @@
     dead.state = MemberState::kDead;
     records_.merge(dead);
     dead_since_.try_emplace(node, now);
-    news_.add(node, NewsPriority::kLiveness);
+    updates_.add(node, UpdatePriority::kLiveness);
     ++members_version_;
   }
 }
@@ -278,27 +279,27 @@
 void GossipState::check_for_pause(core::MonotonicTime now) {
   const core::Duration gap = last_tick_ ? now - *last_tick_ : core::Duration::zero();
   last_tick_ = now;
-  if (gap <= settings_.longest_tick_gap) {
+  if (gap <= settings_.max_tick_gap) {
     return;
   }
-  // Answers that came while we were paused were not late, and neither were
-  // refutations of what we suspected.
+  // Answers that arrived during the pause were not late, nor were refutations of our
+  // suspicions.
   ++counts_.pauses;
   probes_.clear();
   for (auto& [node, end] : suspicion_ends_) {
     end += gap;
   }
-  // The news of the meantime has been told to the end without us.
+  // Updates from the time of the pause are no longer being sent, so they must be requested.
   catching_up_ = true;
   catch_up_pings_.clear();
   next_catch_up_ = now;
 }
 
 bool GossipState::current(core::MonotonicTime now) const {
-  return last_tick_ && now - *last_tick_ <= settings_.longest_tick_gap && !catching_up_;
+  return last_tick_ && now - *last_tick_ <= settings_.max_tick_gap && !catching_up_;
 }
 
-core::Duration GossipState::answer_silence(core::MonotonicTime now) const {
+core::Duration GossipState::time_since_last_answer(core::MonotonicTime now) const {
   return last_answer_ ? now - *last_answer_ : core::Duration::zero();
 }
 
@@ -312,14 +313,14 @@
   run_probes(now, packets);
   expire_suspicions(now);
   forget_dead(now);
-  send_news(now, packets);
+  send_updates(now, packets);
   catch_up(now, packets);
   run_sync(now, packets);
   reconnect(now, packets);
   return packets;
 }
 
-bool GossipState::is_alone() const {
+bool GossipState::has_no_live_peer() const {
   const std::vector<core::NodeId>& live = records_.live_nodes();
   return live.empty() || (live.size() == 1 && live.front() == self_);
 }
@@ -334,15 +335,15 @@
   return nodes;
 }
 
-std::vector<core::NodeId> GossipState::draw_others(std::size_t count,
-                                                   const core::NodeId& excluded) {
+std::vector<core::NodeId> GossipState::sample_others(std::size_t count,
+                                                     const core::NodeId& excluded) {
   const std::vector<core::NodeId> unsuspected = unsuspected_nodes();
   const bool has_others = unsuspected.size() > 1;
   const std::vector<core::NodeId>& live = has_others ? unsuspected : records_.live_nodes();
   std::vector<std::size_t> places(live.size());
   std::iota(places.begin(), places.end(), std::size_t{0});
   std::vector<core::NodeId> drawn;
-  // A shuffle of the places that ends as soon as enough are drawn.
+  // Partial Fisher-Yates shuffle that ends once enough members are drawn.
   for (std::size_t left = places.size(); left > 0 && drawn.size() < count; --left) {
     std::swap(places[left - 1], places[random_.uniform(0, left - 1)]);
     const core::NodeId& node = live[places[left - 1]];
@@ -359,12 +360,12 @@
   return settings_.transmission_multiplier * std::max(1u, static_cast<std::uint32_t>(rounds));
 }
 
-core::Duration GossipState::suspicion_length() const {
+core::Duration GossipState::suspicion_timeout() const {
   const double members = static_cast<double>(records_.members().size());
   const double intervals = settings_.suspicion_multiplier * std::log10(members + 1);
   const core::Duration scaled =
       core::from_seconds(intervals * core::to_seconds(settings_.probe_interval));
-  return std::max(settings_.shortest_suspicion, scaled);
+  return std::max(settings_.min_suspicion_timeout, scaled);
 }
 
 }  // namespace stoneport::controllers
--- a/src/controllers/gossip_state_packets.cpp
+++ b/src/controllers/gossip_state_packets.cpp
@@ -1,4 +1,4 @@
-// The part of GossipState that takes in and makes packets.
+// Packet processing and construction of GossipState.
 #include <algorithm>
 
 #include "controllers/gossip_state.hpp"
@@ -8,27 +8,27 @@
 
 using wire::MemberState;
 
-/// Lengths of the packet's lists, beyond what an empty list takes: up to 65,535 records in
-/// each of the four lists, and up to kMostZones in that of zone notices.
+/// Extra length of the list headers over empty lists: up to 65,535 records in each of the
+/// four lists, and up to kMaxZoneNotices zone notices.
 constexpr std::size_t kListHeaderBytes = 8 + 1 + wire::kZoneListBytes;
-/// News that goes into a packet even when the budget is spent, so that a node
-/// that many ask at once (a seed) still introduces them to one another.
-constexpr std::size_t kReservedNewsBytes = 200;
-/// Share of an interval by which regular work is spread out at random.
+/// Bytes of updates that are sent even when the budget is spent, so that a node that
+/// receives many requests, such as a seed, still introduces the senders to one another.
+constexpr std::size_t kReservedUpdateBytes = 200;
+/// Random share of an interval by which periodic work is spread out.
 constexpr std::uint64_t kJitterPercent = 20;
-/// Members that a leaving process tells of its end.
-constexpr std::size_t kFarewellPackets = 8;
+/// Number of members that a leaving process notifies.
+constexpr std::size_t kMaxLeavePackets = 8;
 
 core::Duration with_jitter(core::Duration interval, core::RandomSource& random) {
   return interval * (100 - kJitterPercent / 2 + random.uniform(0, kJitterPercent)) / 100;
 }
 
-/// \return the bytes of \p packet before any record is added.
+/// \return the size of \p packet before any record is added, in bytes
 std::size_t packet_base(const wire::GossipPacket& packet) {
   return wire::size_without_records(packet) + kListHeaderBytes;
 }
 
-/// \return whether \p key names what keeps work away from replicas.
+/// \return whether \p key identifies a record that keeps work away from replicas
 bool is_mark(const RecordKey& key) {
   return std::holds_alternative<core::ReplicaId>(key) ||
          std::holds_alternative<core::ZoneName>(key);
@@ -53,16 +53,16 @@
   const std::size_t base = packet_base(packet);
   const std::size_t room = settings_.packet_bytes > base ? settings_.packet_bytes - base : 0;
   const std::size_t affordable = budget_.available() > base ? budget_.available() - base : 0;
-  std::size_t space = std::min(room, std::max(affordable, kReservedNewsBytes));
+  std::size_t space = std::min(room, std::max(affordable, kReservedUpdateBytes));
   if (about != nullptr) {
     space -= std::min(space, records_.append(*about, packet, room));
   }
-  // A ping to a suspect is rarely read: the news that it had would be lost.
+  // A suspect rarely reads its pings, so updates added to them would be lost.
   const bool pings_suspect = about != nullptr && std::holds_alternative<wire::Ping>(packet.message);
   if (pings_suspect) {
     return finish_packet(to, packet);
   }
-  news_.fill(records_, packet, space, transmission_limit());
+  updates_.fill(records_, packet, space, transmission_limit());
   return finish_packet(to, packet);
 }
 
@@ -107,7 +107,7 @@
   } else if (const auto* indirect = std::get_if<wire::IndirectPing>(&packet.message)) {
     answer_indirect_ping(*indirect, from, now, output);
   } else if (const auto* answered = std::get_if<wire::Acknowledgement>(&packet.message)) {
-    take_acknowledgement(*answered, now, output);
+    handle_acknowledgement(*answered, now, output);
     correct_sender(packet.sender, from, output);
   } else if (const auto* sync = std::get_if<wire::SyncRequest>(&packet.message)) {
     correct_sender(packet.sender, from, output);
@@ -119,14 +119,15 @@
 
 void GossipState::correct_sender(const wire::Member& sender, const core::Address& from,
                                  GossipOutput& output) {
-  // Never in answer to news alone: two who doubt each other would go on for ever.
+  // Not in answer to a packet that only carries updates: two nodes that each consider the
+  // other outdated would reply to one another forever.
   if (must_correct(sender)) {
     output.packets.push_back(make_packet(from, wire::News{}, &sender.node));
   }
 }
 
-void GossipState::take_acknowledgement(const wire::Acknowledgement& acknowledgement,
-                                       core::MonotonicTime now, GossipOutput& output) {
+void GossipState::handle_acknowledgement(const wire::Acknowledgement& acknowledgement,
+                                         core::MonotonicTime now, GossipOutput& output) {
   last_answer_ = now;
   if (catch_up_pings_.contains(acknowledgement.sequence)) {
     catching_up_ = false;
@@ -178,8 +179,9 @@
   }
   std::vector<RecordKey> keys = keys_in_differing_buckets(own, sync);
   if (budget_.available() < settings_.packet_bytes) {
-    // The asking side tries another member next time. Marks do not wait for it:
-    // a member that was frozen sends work to what it does not know as leaving.
+    // Without budget, only marks are sent; the requester tries another member next time.
+    // Marks cannot wait: until a resumed member learns of them, it sends work to leaving
+    // replicas.
     std::erase_if(keys, [](const RecordKey& key) { return !is_mark(key); });
     send_records(keys, from, output);
     return;
@@ -188,7 +190,8 @@
     next_sync_ = std::min(next_sync_, now + settings_.catch_up_interval);
   }
   send_records(keys, from, output);
-  // Also where nothing of ours differs: the other side may know what we do not.
+  // Also sent when none of our records differ: the other side may have records that we
+  // lack.
   if (!sync.is_answer) {
     output.packets.push_back(make_packet(from, sync_request(true)));
   }
@@ -204,7 +207,8 @@
     }
   }
   shuffle(differing, random_);
-  // Not all may fit, and a mark that comes late sends work to a leaving replica.
+  // Marks go first, because not all records may fit and a late mark lets work reach a
+  // leaving replica.
   std::stable_partition(differing.begin(), differing.end(), is_mark);
   return differing;
 }
@@ -242,7 +246,7 @@
       continue;
     }
     const core::Address target_address = target->gossip_address;
-    for (const core::NodeId& helper : draw_others(settings_.indirect_probes, late.target)) {
+    for (const core::NodeId& helper : sample_others(settings_.indirect_probes, late.target)) {
       packets.push_back(
           make_packet(records_.find(helper)->gossip_address,
                       wire::IndirectPing{late.sequence, late.target, target_address}));
@@ -257,13 +261,13 @@
   }
 }
 
-void GossipState::send_news(core::MonotonicTime now, std::vector<OutgoingPacket>& packets) {
-  if (now < next_news_ || news_.empty()) {
+void GossipState::send_updates(core::MonotonicTime now, std::vector<OutgoingPacket>& packets) {
+  if (now < next_update_send_ || updates_.empty()) {
     return;
   }
-  next_news_ = now + settings_.news_interval;
-  for (const core::NodeId& node : draw_others(settings_.news_fanout)) {
-    if (news_.empty() || budget_.available() < settings_.packet_bytes) {
+  next_update_send_ = now + settings_.update_interval;
+  for (const core::NodeId& node : sample_others(settings_.update_fanout)) {
+    if (updates_.empty() || budget_.available() < settings_.packet_bytes) {
       return;
     }
     packets.push_back(make_packet(records_.find(node)->gossip_address, wire::News{}));
@@ -274,7 +278,7 @@
   if (now < next_sync_ || budget_.available() < settings_.packet_bytes) {
     return;
   }
-  for (const core::NodeId& node : draw_others(1)) {
+  for (const core::NodeId& node : sample_others(1)) {
     next_sync_ = now + with_jitter(settings_.sync_interval, random_);
     packets.push_back(make_packet(records_.find(node)->gossip_address, sync_request(false)));
   }
@@ -284,16 +288,16 @@
   if (!catching_up_ || now < next_catch_up_) {
     return;
   }
-  const std::vector<core::NodeId> asked = draw_others(1);
+  const std::vector<core::NodeId> asked = sample_others(1);
   if (asked.empty()) {
     catching_up_ = false;
     return;
   }
   next_catch_up_ = now + settings_.catch_up_retry;
   next_sync_ = now + with_jitter(settings_.sync_interval, random_);
-  // An answer to the request alone proves nothing: one from before the pause may
-  // still wait in the socket, and a member that agrees sends none. The answer to
-  // a ping of now comes behind both.
+  // An answer to the request alone is not sufficient: one from before the pause may still
+  // be in the socket buffer, and a member that agrees sends none. The answer to a new ping
+  // arrives after both.
   const core::Address address = records_.find(asked.front())->gossip_address;
   packets.push_back(make_packet(address, sync_request(false)));
   const std::uint32_t sequence = probes_.next_sequence();
@@ -317,9 +321,9 @@
   if (now < next_reconnect_) {
     return;
   }
-  next_reconnect_ =
-      now +
-      with_jitter(is_alone() ? settings_.catch_up_interval : settings_.reconnect_interval, random_);
+  next_reconnect_ = now + with_jitter(has_no_live_peer() ? settings_.catch_up_interval
+                                                         : settings_.reconnect_interval,
+                                      random_);
   const std::vector<core::Address> addresses = unreached_addresses();
   if (addresses.empty()) {
     return;
@@ -328,12 +332,12 @@
   packets.push_back(make_packet(address, sync_request(false)));
 }
 
-std::vector<OutgoingPacket> GossipState::farewell() {
+std::vector<OutgoingPacket> GossipState::leave_packets() {
   announce_leaving();
   wire::Member gone = self();
   gone.state = MemberState::kDead;
   std::vector<OutgoingPacket> packets;
-  for (const core::NodeId& node : draw_others(kFarewellPackets)) {
+  for (const core::NodeId& node : sample_others(kMaxLeavePackets)) {
     wire::GossipPacket packet;
     packet.sender = gone;
     packets.push_back(finish_packet(records_.find(node)->gossip_address, packet));
--- a/src/controllers/gossip_transport.hpp
+++ b/src/controllers/gossip_transport.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How gossip packets travel. A daemon uses GossipEndpoint (UDP); hollow members
-/// that share a process may use a network in memory. Control thread only.
+/// Transport for gossip packets. Daemons use GossipEndpoint (UDP); simulated members that
+/// share a process may use an in-memory network. Control thread only.
 #pragma once
 
 #include <functional>
@@ -15,9 +15,10 @@
   using Receiver = std::function<void(const core::Address& from, std::string_view bytes)>;
 
   virtual ~GossipTransport() = default;
-  /// Hands the packet over without waiting; it may be lost on the way.
+  /// Sends the packet without blocking; it may be lost.
   virtual void send(const OutgoingPacket& packet) = 0;
-  /// Calls \p receiver for each packet that arrives; an empty one stops that.
+  /// Sets the function that is called for each received packet; an empty one stops
+  /// delivery.
   virtual void set_receiver(Receiver receiver) = 0;
 };
 
--- a/src/controllers/gossip_news_queue.cpp
+++ b/src/controllers/gossip_update_queue.cpp
@@ -1,4 +1,4 @@
-#include "controllers/gossip_news_queue.hpp"
+#include "controllers/gossip_update_queue.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -6,18 +6,18 @@
 namespace stoneport::controllers {
 namespace {
 
-/// Below this no record fits.
-constexpr std::size_t kSmallestRecordBytes = 8;
+/// No record is smaller than this.
+constexpr std::size_t kMinRecordBytes = 8;
 
 }  // namespace
 
-void GossipNewsQueue::add(const RecordKey& key, NewsPriority priority) {
+void GossipUpdateQueue::add(const RecordKey& key, UpdatePriority priority) {
   Entry& entry = entries_.try_emplace(key, Entry{priority, 0}).first->second;
   entry.priority = std::min(entry.priority, priority);
   entry.transmissions = 0;
 }
 
-std::vector<GossipNewsQueue::Entries::iterator> GossipNewsQueue::in_order() {
+std::vector<GossipUpdateQueue::Entries::iterator> GossipUpdateQueue::in_order() {
   std::vector<Entries::iterator> order;
   order.reserve(entries_.size());
   for (auto entry = entries_.begin(); entry != entries_.end(); ++entry) {
@@ -30,15 +30,15 @@
   return order;
 }
 
-void GossipNewsQueue::fill(const GossipRecords& records, wire::GossipPacket& packet,
-                           std::size_t space, std::uint32_t transmission_limit) {
+void GossipUpdateQueue::fill(const GossipRecords& records, wire::GossipPacket& packet,
+                             std::size_t space, std::uint32_t transmission_limit) {
   for (const Entries::iterator position : in_order()) {
-    if (space < kSmallestRecordBytes) {
+    if (space < kMinRecordBytes) {
       return;
     }
     const RecordKey& key = position->first;
     Entry& entry = position->second;
-    const bool revision_only = entry.priority == NewsPriority::kConfiguration;
+    const bool revision_only = entry.priority == UpdatePriority::kConfiguration;
     const std::size_t used =
         revision_only ? records.append_revision(std::get<core::NodeId>(key), packet, space)
                       : records.append(key, packet, space);
--- a/src/controllers/gossip_news_queue.hpp
+++ b/src/controllers/gossip_update_queue.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which records still have to be told to others, and in what order. Plain
-/// state; owned by one GossipState.
+/// Queue of changed records that still have to be sent to other members, by priority. Owned
+/// by one GossipState.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 
 namespace stoneport::controllers {
 
-/// More urgent news goes into a packet first.
-enum class NewsPriority : std::uint8_t {
+/// Higher-priority updates go into a packet first.
+enum class UpdatePriority : std::uint8_t {
   kDrain,          ///< drain marks, notices of evacuated zones and policy versions
   kLiveness,       ///< joined, suspect, dead, refuted
   kConfiguration,  ///< a member's configuration revision
 };
 
-class GossipNewsQueue {
+class GossipUpdateQueue {
  public:
-  /// Puts \p key in, or starts its count of transmissions again.
-  void add(const RecordKey& key, NewsPriority priority);
-  /// Fills \p packet with the most urgent, least told records, up to \p space
-  /// bytes. A record that has been told \p transmission_limit times leaves.
+  /// Adds \p key, or resets its transmission count.
+  void add(const RecordKey& key, UpdatePriority priority);
+  /// Fills \p packet with up to \p space bytes of records, by priority and then by fewest
+  /// transmissions. A record that has been sent \p transmission_limit times is removed.
   void fill(const GossipRecords& records, wire::GossipPacket& packet, std::size_t space,
             std::uint32_t transmission_limit);
   bool empty() const { return entries_.empty(); }
@@ -31,11 +31,11 @@
 
  private:
   struct Entry {
-    NewsPriority priority = NewsPriority::kLiveness;
+    UpdatePriority priority = UpdatePriority::kLiveness;
     std::uint32_t transmissions = 0;
   };
   using Entries = std::map<RecordKey, Entry>;
-  /// \return the entries, most urgent and least told first.
+  /// \return the entries, by priority and then by fewest transmissions
   std::vector<Entries::iterator> in_order();
   Entries entries_;
 };
--- a/src/controllers/lease.cpp
+++ b/src/controllers/lease.cpp
@@ -9,7 +9,7 @@
 using nlohmann::json;
 
 core::Error bad_record() {
-  return core::make_error(core::ErrorCode::kProtocol, "a lease record is expected");
+  return core::make_error(core::ErrorCode::kProtocol, "the row is not a valid lease record");
 }
 
 core::Duration scaled(core::Duration duration, double factor) {
@@ -43,8 +43,8 @@
   const json& value = *parsed;
   const auto epoch = whole_field(value, "epoch");
   const auto duration = whole_field(value, "duration_us");
-  constexpr std::uint64_t kLongestDuration = 86'400'000'000;  // a day
-  if (!epoch || !duration || *duration > kLongestDuration) {
+  constexpr std::uint64_t kMaxDurationMicros = 86'400'000'000;  // one day
+  if (!epoch || !duration || *duration > kMaxDurationMicros) {
     return bad_record();
   }
   LeaseRecord record;
@@ -175,15 +175,15 @@
   }
 }
 
-LeaseStanding LeaseState::standing(core::MonotonicTime now) const {
+LeaseStatus LeaseState::status(core::MonotonicTime now) const {
   if (epoch_ == core::Epoch()) {
-    return LeaseStanding::kNone;
+    return LeaseStatus::kNone;
   }
   if (now < held_until_) {
-    return LeaseStanding::kHeld;
+    return LeaseStatus::kHeld;
   }
   const bool just_tried = last_unanswered_ && now - *last_unanswered_ < settings_.duration / 2;
-  return just_tried ? LeaseStanding::kUnconfirmed : LeaseStanding::kNone;
+  return just_tried ? LeaseStatus::kUnconfirmed : LeaseStatus::kNone;
 }
 
 }  // namespace stoneport::controllers
--- a/src/controllers/lease.hpp
+++ b/src/controllers/lease.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The arithmetic of leases with fencing. Plain code: rows, answers and times go
-/// in, a decision comes out. docs/design/leases.md
+/// Decision logic of fenced leases: takes rows, store responses and times, and returns the
+/// next step. Performs no I/O. See docs/design/leases.md.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace stoneport::controllers {
 
-/// One life of one daemon. A restarted daemon is another holder, as its former
+/// One process of one daemon. A restarted daemon is a different holder, because its former
 /// process may only be frozen.
 struct LeaseHolder {
   core::NodeId node;
@@ -20,31 +20,31 @@
   auto operator<=>(const LeaseHolder&) const = default;
 };
 
-/// What the row of a lease says. The row is never deleted, so that the epoch
-/// only grows; a released lease has no holder.
+/// Contents of a lease's row. The row is never deleted, so that the epoch only increases; a
+/// released lease has no holder.
 struct LeaseRecord {
   std::optional<LeaseHolder> holder;
   core::Epoch epoch;
-  core::Duration duration{};  ///< as the holder chose it
+  core::Duration duration{};  ///< chosen by the holder
 };
 
 std::string encode_lease(const LeaseRecord& record);
-/// \return kProtocol for anything else than a lease record.
+/// \return the record, or kProtocol when \p text is not a lease record
 core::Result<LeaseRecord> parse_lease(const std::string& text);
 
 struct LeaseSettings {
   core::Duration duration = std::chrono::seconds(10);
-  /// Part of the duration that the holder leaves unused, against clocks that run
-  /// at different rates.
+  /// Fraction of the duration that the holder does not use, to allow for clocks that run at
+  /// different rates.
   double holder_margin = 0.15;
 };
 
-/// How far a daemon may act under a lease now.
-enum class LeaseStanding {
-  kNone,  ///< must not act
-  kHeld,  ///< nobody else can hold it
-  /// It ran out while the store did not answer us, and we know of no other
-  /// holder. Only effects that the fence checks and that may happen twice.
+/// Which effects a lease currently allows.
+enum class LeaseStatus {
+  kNone,  ///< none
+  kHeld,  ///< any: no other daemon can hold the lease
+  /// The lease expired while the store was not answering, and no other holder is known.
+  /// Only effects that the receiver fences and that may safely happen twice are allowed.
   kUnconfirmed,
 };
 
@@ -53,10 +53,10 @@
   core::Revision revision;
 };
 
-/// A conditional write of the lease's row.
+/// Conditional write of the lease's row.
 struct LeaseWrite {
   LeaseRecord record;
-  core::Revision condition;  ///< zero: there must be no row
+  core::Revision condition;  ///< zero: the row must not exist
 };
 
 enum class LeaseStep { kWait, kRead, kWrite };
@@ -65,37 +65,37 @@
   std::optional<LeaseWrite> write;  ///< set for kWrite
 };
 
-/// One lease as one daemon sees it. Ask plan(), do what it says, report the end.
+/// State of one lease on one daemon. Call plan(), execute the step, then report its result.
 class LeaseState {
  public:
   LeaseState(LeaseHolder self, LeaseSettings settings)
       : self_(std::move(self)), settings_(settings) {}
 
-  /// Starts a round: what another holds must be read again.
+  /// Starts a round: a row that another daemon holds must be read again.
   void begin_round();
 
   /// \param wanted whether this daemon should hold the lease
   LeasePlan plan(core::MonotonicTime now, bool wanted) const;
 
-  /// \param now taken after the answer arrived
+  /// \param now time after the response arrived
   void on_read(std::optional<ObservedLease> observed, core::MonotonicTime now);
   void on_read_failed(core::MonotonicTime sent_at, core::MonotonicTime now);
 
-  /// \param sent_at taken before the write was sent: the lease may be in force
-  /// for others from then on
+  /// \param sent_at time before the write was sent, from which other daemons may see the
+  /// lease in force
   void on_write_committed(const LeaseWrite& write, core::Revision revision,
                           core::MonotonicTime sent_at);
-  /// Somebody else changed the row, or it says nothing that we understand.
+  /// Records that another daemon changed the row, or that it cannot be parsed.
   void on_row_lost();
-  /// The store refused, or its answer was lost.
-  /// \param now taken after the attempt ended
+  /// Records that the store rejected the write, or that its response was lost.
+  /// \param now time after the attempt ended
   void on_write_failed(core::MonotonicTime sent_at, core::MonotonicTime now,
                        bool may_have_taken_effect);
 
-  LeaseStanding standing(core::MonotonicTime now) const;
-  /// \return the fencing token of the lease last held; zero when lost or never held.
+  LeaseStatus status(core::MonotonicTime now) const;
+  /// \return the fencing token of the lease last held; zero when lost or never held
   core::Epoch epoch() const { return epoch_; }
-  /// \return the holder that the last read named.
+  /// \return the holder named by the last read
   std::optional<LeaseHolder> observed_holder() const;
 
  private:
@@ -108,7 +108,7 @@
   LeaseHolder self_;
   LeaseSettings settings_;
 
-  /// The row as last read or written; its revision is known while fresh.
+  /// Row as last read or written; its revision is known while read_is_fresh_.
   std::optional<ObservedLease> row_;
   bool read_is_fresh_ = false;
   core::MonotonicTime unchanged_since_{};
@@ -116,8 +116,8 @@
 
   core::Epoch epoch_;
   core::MonotonicTime held_until_{};
-  /// End of the last attempt that the store did not answer, if it was short:
-  /// one that spans a pause of this process says nothing of the time since.
+  /// End of the last attempt that the store did not answer. Set only after a short attempt:
+  /// one that spans a pause of this process shows nothing about the store during that time.
   std::optional<core::MonotonicTime> last_unanswered_;
 };
 
--- a/src/controllers/lease_keeper.cpp
+++ b/src/controllers/lease_manager.cpp
@@ -1,4 +1,4 @@
-#include "controllers/lease_keeper.hpp"
+#include "controllers/lease_manager.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -9,7 +9,7 @@
 using core::ErrorCode;
 
 constexpr const char* kTable = "leases";
-/// Rounds within one duration: three renewals may fail before a lease lapses.
+/// Rounds per lease duration; three renewals may fail before a lease expires.
 constexpr int kRoundsPerDuration = 4;
 constexpr core::Duration kRoundPoll = std::chrono::milliseconds(10);
 
@@ -30,11 +30,11 @@
 
 }  // namespace
 
-struct LeaseKeeper::Counters {
+struct LeaseManager::Counters {
   explicit Counters(core::Metrics& metrics) : metrics_(metrics) {}
   prometheus::Counter& end(const char* end) {
     return metrics_.counter("stoneport_lease_attempts_total",
-                            "Attempts to read or write a lease by end", {{"end", end}});
+                            "Attempts to read or write a lease, by outcome", {{"end", end}});
   }
   core::Metrics& metrics_;
   prometheus::Counter& committed = end("committed");
@@ -44,8 +44,9 @@
   prometheus::Counter& read_failed = end("read_failed");
 };
 
-LeaseKeeper::LeaseKeeper(ports::TableService& table, const core::TimeSource& time, LeaseHolder self,
-                         LeaseSettings settings, std::uint64_t seed, core::Metrics& metrics)
+LeaseManager::LeaseManager(ports::TableService& table, const core::TimeSource& time,
+                           LeaseHolder self, LeaseSettings settings, std::uint64_t seed,
+                           core::Metrics& metrics)
     : table_(table),
       time_(time),
       self_(std::move(self)),
@@ -54,55 +55,55 @@
       random_(seed),
       counters_(std::make_unique<Counters>(metrics)) {}
 
-LeaseKeeper::~LeaseKeeper() = default;
+LeaseManager::~LeaseManager() = default;
 
-void LeaseKeeper::set_wanted(std::set<std::string> names) {
+void LeaseManager::set_wanted(std::set<std::string> names) {
   wanted_ = std::move(names);
   for (const std::string& name : wanted_) {
     leases_.try_emplace(name, self_, settings_);
   }
 }
 
-LeaseStanding LeaseKeeper::standing(const std::string& name) const {
+LeaseStatus LeaseManager::status(const std::string& name) const {
   const auto lease = leases_.find(name);
   if (lease == leases_.end() || !wanted_.contains(name)) {
-    return LeaseStanding::kNone;
+    return LeaseStatus::kNone;
   }
-  return lease->second.standing(time_.now());
+  return lease->second.status(time_.now());
 }
 
-std::optional<core::Epoch> LeaseKeeper::held_epoch(const std::string& name) const {
-  if (standing(name) != LeaseStanding::kHeld) {
+std::optional<core::Epoch> LeaseManager::held_epoch(const std::string& name) const {
+  if (status(name) != LeaseStatus::kHeld) {
     return std::nullopt;
   }
   return leases_.at(name).epoch();
 }
 
-std::optional<core::Epoch> LeaseKeeper::fenced_epoch(const std::string& name) const {
-  if (standing(name) == LeaseStanding::kNone) {
+std::optional<core::Epoch> LeaseManager::fenced_epoch(const std::string& name) const {
+  if (status(name) == LeaseStatus::kNone) {
     return std::nullopt;
   }
   return leases_.at(name).epoch();
 }
 
-std::optional<LeaseHolder> LeaseKeeper::observed_holder(const std::string& name) const {
+std::optional<LeaseHolder> LeaseManager::observed_holder(const std::string& name) const {
   const auto lease = leases_.find(name);
   return lease == leases_.end() ? std::nullopt : lease->second.observed_holder();
 }
 
-void LeaseKeeper::log_change(const std::string& name, core::Epoch before) {
+void LeaseManager::log_change(const std::string& name, core::Epoch before) {
   const core::Epoch now = leases_.at(name).epoch();
   if (now == before) {
     return;
   }
   if (now == core::Epoch()) {
-    spdlog::info("lease {} given up or lost, epoch was {}", name, before.value());
+    spdlog::info("lease {} released or lost, epoch was {}", name, before.value());
   } else {
     spdlog::info("lease {} acquired, epoch {}", name, now.value());
   }
 }
 
-boost::asio::awaitable<void> LeaseKeeper::read(std::string name) {
+boost::asio::awaitable<void> LeaseManager::read(std::string name) {
   const core::MonotonicTime sent_at = time_.now();
   ports::RowKey key{kTable, name};
   const auto answer = co_await table_.read(std::move(key), ports::TablePriority::kOwnership);
@@ -118,7 +119,7 @@
   lease.on_read(std::move(*observed), now);
 }
 
-boost::asio::awaitable<void> LeaseKeeper::write(std::string name, LeaseWrite write) {
+boost::asio::awaitable<void> LeaseManager::write(std::string name, LeaseWrite write) {
   ports::Transaction transaction;
   transaction.write_id = write_ids_.next();
   const ports::RowKey key{kTable, name};
@@ -144,7 +145,7 @@
   lease.on_write_failed(sent_at, time_.now(), !refused);
 }
 
-boost::asio::awaitable<void> LeaseKeeper::advance(std::string name, bool wanted) {
+boost::asio::awaitable<void> LeaseManager::advance(std::string name, bool wanted) {
   LeaseState& lease = leases_.at(name);
   const core::Epoch before = lease.epoch();
   lease.begin_round();
@@ -159,7 +160,7 @@
   log_change(name, before);
 }
 
-boost::asio::awaitable<void> LeaseKeeper::run_round() {
+boost::asio::awaitable<void> LeaseManager::run_round() {
   while (round_in_progress_) {
     co_await runtime::sleep_for(kRoundPoll);
   }
@@ -175,7 +176,7 @@
   round_in_progress_ = false;
 }
 
-boost::asio::awaitable<void> LeaseKeeper::run() {
+boost::asio::awaitable<void> LeaseManager::run() {
   while (!stopping_) {
     co_await run_round();
     const double jitter = 0.9 + 0.2 * random_.fraction();
@@ -184,7 +185,7 @@
   }
 }
 
-boost::asio::awaitable<void> LeaseKeeper::release_all() {
+boost::asio::awaitable<void> LeaseManager::release_all() {
   set_wanted({});
   co_await run_round();
 }
--- a/src/controllers/lease_keeper.hpp
+++ b/src/controllers/lease_manager.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Acquires, renews and releases leases in the table service. Owns the state of
-/// every lease of this daemon; control thread only. docs/design/leases.md
+/// Acquires, renews and releases leases in the table service. Owns the state of all leases
+/// of this daemon; control thread only. See docs/design/leases.md.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -18,36 +18,38 @@
 
 namespace stoneport::controllers {
 
-class LeaseKeeper : public FencedOwnership {
+class LeaseManager : public FencedOwnership {
  public:
-  /// \p table and \p time outlive the keeper. \p self names this process's life:
-  /// its incarnation must differ from that of every earlier process of the node.
-  LeaseKeeper(ports::TableService& table, const core::TimeSource& time, LeaseHolder self,
-              LeaseSettings settings, std::uint64_t seed, core::Metrics& metrics);
-  ~LeaseKeeper() override;
+  /// \param table must outlive the manager, as must \p time
+  /// \param self identifies this process; its incarnation must differ from that of every
+  /// earlier process of the node
+  LeaseManager(ports::TableService& table, const core::TimeSource& time, LeaseHolder self,
+               LeaseSettings settings, std::uint64_t seed, core::Metrics& metrics);
+  ~LeaseManager() override;
 
-  /// Sets which leases this daemon should hold. One that is no longer wanted may
-  /// not be acted under from this call on, and is released in the next round.
+  /// Sets the leases that this daemon should hold. A lease that is no longer wanted allows
+  /// no effects from this call on, and is released in the next round.
   void set_wanted(std::set<std::string> names) override;
 
-  /// Reads the clock; ask before each effect.
-  LeaseStanding standing(const std::string& name) const;
-  /// \return the fencing token for any effect, only while the lease is held.
+  /// \return the current status of the lease, which depends on the time; call before each
+  /// effect
+  LeaseStatus status(const std::string& name) const;
+  /// \return the fencing token for any effect, only while the lease is held
   std::optional<core::Epoch> held_epoch(const std::string& name) const;
-  /// \return the fencing token for an effect that the other side fences and that
-  /// may happen twice: also while the store does not answer (kUnconfirmed).
+  /// \return the fencing token for an effect that the receiver fences and that may safely
+  /// happen twice; also available while the store does not answer (kUnconfirmed)
   std::optional<core::Epoch> fenced_epoch(const std::string& name) const override;
-  /// \return who holds \p name as last read.
+  /// \return the holder of \p name according to the last read
   std::optional<LeaseHolder> observed_holder(const std::string& name) const;
 
   /// Runs rounds until stop(). Start once.
   boost::asio::awaitable<void> run();
   /// Ends run() after the round in progress.
   void stop() { stopping_ = true; }
-  /// One pass over all leases; waits for one in progress to end.
+  /// Processes all leases once; first waits for a round in progress to end.
   boost::asio::awaitable<void> run_round();
-  /// Gives up every lease, for a planned stop. Best effort: what is not released
-  /// runs out.
+  /// Releases all leases for a planned shutdown, on a best-effort basis; a lease that is
+  /// not released expires.
   boost::asio::awaitable<void> release_all();
 
  private:
--- a/src/controllers/machine_list_controller.cpp
+++ b/src/controllers/machine_list_controller.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// Until the list has been read once, it is asked for at this pace.
-constexpr core::Duration kFirstInterval = std::chrono::milliseconds(200);
-/// Polls of many daemons are spread out by this share of the interval.
+/// Poll interval until the list has been read once.
+constexpr core::Duration kInitialPollInterval = std::chrono::milliseconds(200);
+/// Fraction of the interval by which polls are randomized, so that daemons do not poll in
+/// step.
 constexpr double kJitter = 0.25;
 
 bool same(const ports::Machine& left, const ports::Machine& right) {
@@ -35,8 +36,9 @@
       random_(random_seed),
       failures_(metrics.counter("stoneport_machine_list_failures_total",
                                 "Polls of the machine list that failed")),
-      empty_lists_(metrics.counter("stoneport_machine_list_empty_total",
-                                   "Empty machine lists, not believed after a filled one")),
+      empty_lists_(
+          metrics.counter("stoneport_machine_list_empty_total",
+                          "Empty machine lists ignored because an earlier list had entries")),
       machines_(std::make_shared<const std::vector<ports::Machine>>()) {}
 
 void MachineListController::start() {
@@ -56,7 +58,7 @@
       failures_.Increment();
     }
     const core::Duration whole =
-        loaded_ ? poll_interval(interval_, machines_->size()) : kFirstInterval;
+        loaded_ ? poll_interval(interval_, machines_->size()) : kInitialPollInterval;
     const double share = 1 - kJitter / 2 + kJitter * random_.fraction();
     co_await runtime::sleep_for(core::from_seconds(core::to_seconds(whole) * share));
   }
--- a/src/controllers/machine_list_controller.hpp
+++ b/src/controllers/machine_list_controller.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Polls the machine list, hands its nodes to gossip as seeds, and marks nodes
-/// that it shows leaving. Owned by the control thread.
+/// Polls the machine list, passes its nodes to gossip as seeds, and marks the nodes that it
+/// lists as leaving. Owned by the control thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,7 +13,7 @@
 
 class MachineListController {
  public:
-  /// \param interval shortest time between polls; see poll_interval()
+  /// \param interval minimum time between polls; see poll_interval()
   MachineListController(boost::asio::any_io_executor executor, ports::MachineList& list,
                         GossipController& gossip, core::Duration interval,
                         std::uint64_t random_seed, core::Metrics& metrics);
@@ -21,11 +21,12 @@
   void start();
   void stop() { alive_.reset(); }
 
-  /// \return the last list read; the shared value never changes.
+  /// \return the list as last read; the shared value is immutable
   std::shared_ptr<const std::vector<ports::Machine>> machines() const { return machines_; }
-  /// \return whether the list was read at least once.
+  /// \return whether the list was read at least once
   bool loaded() const { return loaded_; }
-  /// Calls \p listener after each list that differs from the one before.
+  /// Registers \p listener, which is called after each list that differs from the previous
+  /// one.
   void on_change(std::function<void()> listener) { listeners_.push_back(std::move(listener)); }
 
  private:
--- a/src/controllers/machine_list_view.cpp
+++ b/src/controllers/machine_list_view.cpp
@@ -10,9 +10,9 @@
 using ports::MachineRole;
 using ports::MachineState;
 
-/// About what one machine takes in the list's JSON.
+/// Approximate size of one machine in the list's JSON.
 constexpr double kBytesPerMachine = 180;
-/// What polling the list may use of a node's 20 KB/s of control traffic.
+/// Share of a node's 20 KB/s of control traffic that polling the list may use.
 constexpr double kListBytesPerSecond = 4'000;
 
 }  // namespace
--- a/src/controllers/machine_list_view.hpp
+++ b/src/controllers/machine_list_view.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What is read out of the platform's machine list. Plain functions; the list
-/// is a hint and lags, so nothing here takes it as proof of life.
+/// Functions that extract information from the platform's machine list. The list may be out
+/// of date, so it is never used as proof that a machine is alive.
 #pragma once
 
 #include <optional>
@@ -11,25 +11,25 @@
 
 namespace stoneport::controllers {
 
-/// \return gossip addresses of the listed nodes but \p self.
+/// \return the gossip addresses of the listed nodes except \p self
 std::vector<core::Address> seed_addresses(const std::vector<ports::Machine>& machines,
                                           const core::NodeId& self);
 
-/// \return nodes that turned from live to leaving between two lists. An entry
-/// that was leaving when first seen may be about an earlier process under that
-/// name, and is left to the members that saw it turn.
+/// \return the nodes that changed from live to leaving between two lists. An entry that was
+/// already leaving when first seen may describe an earlier process with that name, so it is
+/// left to the members that observed the change.
 std::vector<core::NodeId> newly_leaving_nodes(const std::vector<ports::Machine>& before,
                                               const std::vector<ports::Machine>& after);
 
-/// \return the time between two polls: \p configured, stretched so that a long
-/// list does not use up the node's share of control traffic.
+/// \return the time between two polls: \p configured, or longer so that a large list does
+/// not use up the node's share of control traffic
 core::Duration poll_interval(core::Duration configured, std::size_t machine_count);
 
-/// \return the listed engine or service instance named \p replica, or null.
+/// \return the listed engine or service instance named \p replica, or null
 const ports::Machine* find_replica(const std::vector<ports::Machine>& machines,
                                    const core::ReplicaId& replica);
 
-/// \return every listed engine and service instance.
+/// \return all listed engines and service instances
 std::vector<core::ReplicaId> all_replicas(const std::vector<ports::Machine>& machines);
 
 inline bool is_replica(const ports::Machine& machine) {
--- a/src/controllers/membership.hpp
+++ b/src/controllers/membership.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the other controllers need to know of the members. Control thread only.
+/// Interface through which other controllers access the members. Control thread only.
 #pragma once
 
 #include <functional>
@@ -13,18 +13,19 @@
  public:
   virtual ~Membership() = default;
   virtual wire::Member self() const = 0;
-  /// \return every known member, self included, in order of node.
+  /// \return all known members including self, ordered by node
   virtual std::vector<wire::Member> members() const = 0;
-  /// States our configuration revision to the others; never goes back.
+  /// Announces this daemon's configuration revision to the other members; it never
+  /// decreases.
   virtual void announce_configuration(core::Revision revision) = 0;
   /// Marks self as leaving for the rest of this incarnation.
   virtual void announce_leaving() = 0;
-  /// Calls \p listener after each change of the member list.
+  /// Registers \p listener, which is called after each change of the member list.
   virtual void on_change(std::function<void()> listener) = 0;
 };
 
-/// \return the live, not leaving members that rendezvous hashing ranks first
-/// for \p key, best first, at most \p count.
+/// \return up to \p count live members that are not leaving, in descending order of their
+/// rendezvous hash for \p key
 std::vector<wire::Member> ranked_members(const std::vector<wire::Member>& members,
                                          const std::string& key, std::size_t count);
 
--- a/src/controllers/operator_configuration_json.cpp
+++ b/src/controllers/operator_configuration_json.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kConflictStatus = 409;
 constexpr unsigned kInvalidDocumentStatus = 422;
-constexpr std::size_t kLongestComment = 2000;
+constexpr std::size_t kMaxCommentBytes = 2000;
 const std::string kBody = "request body";
 
 Checked<nlohmann::json> parse_object(const std::string& body) {
@@ -43,8 +43,8 @@
                       Problems& problems) {
   const nlohmann::json value = object.value(key, nlohmann::json(""));
   const std::string text = value.is_string() ? value.get<std::string>() : std::string();
-  if (!value.is_string() || text.size() < shortest || text.size() > kLongestComment) {
-    const std::string allowed = fmt::format("a text of {} to {} bytes", shortest, kLongestComment);
+  if (!value.is_string() || text.size() < shortest || text.size() > kMaxCommentBytes) {
+    const std::string allowed = fmt::format("a text of {} to {} bytes", shortest, kMaxCommentBytes);
     problems.push_back({kBody, 0, key, config::quote(value), allowed});
   }
   return text;
@@ -66,8 +66,8 @@
   return config::read_document(*source);
 }
 
-/// \return a name for the document at \p index, for problems.
-std::string place_of(const nlohmann::json& document, std::size_t index) {
+/// \return a label for the document at \p index, used in problem reports
+std::string document_label(const nlohmann::json& document, std::size_t index) {
   const bool named =
       document.is_object() && document.contains("name") && document["name"].is_string();
   return named ? document["name"].get<std::string>() : fmt::format("documents[{}]", index);
@@ -154,7 +154,7 @@
   ValidationInput input;
   for (std::size_t index = 0; index < documents.size(); ++index) {
     Checked<config::Document> document =
-        parse_document(documents[index], place_of(documents[index], index));
+        parse_document(documents[index], document_label(documents[index], index));
     if (document.has_error()) {
       append(input.problems, document.error());
     } else {
--- a/src/controllers/operator_configuration_routes.cpp
+++ b/src/controllers/operator_configuration_routes.cpp
@@ -81,8 +81,8 @@
   co_return ok({{"publications", std::move(publications)}});
 }
 
-/// \return the document as published at \p revision, or the one in force without
-/// a revision; a record without a document where none is in force.
+/// \return the document as published at \p revision, or the one in force if no revision is
+/// given; a record without a document if none is in force
 asio::awaitable<core::Result<DocumentRecord>> record_at(ConfigurationController& controller,
                                                         DocumentKey key,
                                                         std::optional<core::Revision> revision) {
@@ -135,7 +135,7 @@
   co_return outcome_response(outcome);
 }
 
-/// \return the whole in force with \p documents put in their places.
+/// \return the configuration in force with \p documents replaced or added
 config::ConfigurationRecord overlay(config::ConfigurationRecord whole,
                                     const std::vector<config::Document>& documents) {
   for (const config::Document& document : documents) {
@@ -189,7 +189,7 @@
                 {"missing", std::move(missing)}});
 }
 
-/// Adds one route whose handler runs on the control thread.
+/// Adds a route whose handler runs on the control thread.
 void add(http::Router& router, ConfigurationController& controller, const char* method,
          const std::string& pattern, DocumentGroup group, Handler handler) {
   router.add(method, pattern, [&controller, group, handler](http::RoutedRequest request) {
--- a/src/controllers/operator_configuration_routes.hpp
+++ b/src/controllers/operator_configuration_routes.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Operators' routes for templates and parameters (docs/api/operators.md).
-/// Handlers parse, call the controller on the control thread, and answer.
+/// Operator API routes for templates and parameters (docs/api/operators.md). Handlers parse
+/// the request, call the controller on the control thread, and respond.
 #pragma once
 
 #include "controllers/configuration_controller.hpp"
@@ -8,7 +8,7 @@
 
 namespace stoneport::controllers {
 
-/// Adds the routes of documents. \p controller must outlive \p router.
+/// Adds the document routes. \p controller must outlive \p router.
 void register_operator_configuration_routes(http::Router& router,
                                             ConfigurationController& controller);
 
--- a/src/controllers/operator_events.hpp
+++ b/src/controllers/operator_events.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The operators' route on events: those in force, how far each is from its
-/// start, and the steps that this daemon works on. The handler runs on the
-/// control thread, whichever thread the listener has.
+/// Operator API route for events: lists those in force, their warm-up state, and the steps
+/// that this daemon processes. The handler runs on the control thread, regardless of the
+/// listener's thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -19,19 +19,19 @@
 
 namespace stoneport::controllers {
 
-/// What the route reads; all of it outlives the router.
+/// Data sources of the route; all must outlive the router.
 struct OperatorEventContext {
   using StepReports = boost::asio::awaitable<std::vector<rollout::StepReport>>;
 
   boost::asio::any_io_executor control;
   std::function<std::shared_ptr<const config::Configuration>()> configuration;
-  /// The steps of this daemon; called and resumed on the control thread.
+  /// Returns the steps of this daemon; called and resumed on the control thread.
   std::function<StepReports()> steps;
-  /// \return how far the event is from its start; nothing before the first look.
+  /// Returns the warm-up state of the event; none before the first round.
   std::function<std::optional<rollout::WarmUpDecision>(const core::EventName&)> warm_up;
 };
 
-/// \return the document of `GET /v1/operator/events`, in order of event and step.
+/// \return the body of `GET /v1/operator/events`, ordered by event and step
 std::string events_json(const OperatorEventContext& context,
                         const std::vector<rollout::StepReport>& steps);
 
--- a/src/controllers/operator_json.cpp
+++ b/src/controllers/operator_json.cpp
@@ -71,7 +71,7 @@
   }
 }
 
-/// A replica without a report yet has a null version.
+/// The version is null for a replica without a report.
 Json weight_document(const routing::Replica& replica) {
   Json document = {{"replica", replica.id.value()}, {"version", nullptr}, {"swapping", false}};
   if (replica.digest) {
--- a/src/controllers/operator_json.hpp
+++ b/src/controllers/operator_json.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// JSON documents of the operators' routes. Plain functions.
+/// Response bodies of the operator API.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 
 std::string members_json(const std::vector<wire::Member>& members);
 
-/// \param now for the age of the digests
+/// \param now used to compute the age of the digests
 std::string replicas_json(const routing::RoutingTable& table, core::MonotonicTime now);
 
 /// \param models_of_policies the models that serve each policy
@@ -25,7 +25,7 @@
 struct StatusSummary {
   wire::Member self;
   bool ready = false;
-  std::size_t members = 0;  ///< alive, self included
+  std::size_t members = 0;  ///< alive, including self
   std::string store;
 };
 std::string status_json(const StatusSummary& status);
--- a/src/controllers/operator_routes.cpp
+++ b/src/controllers/operator_routes.cpp
@@ -20,7 +20,7 @@
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kAccepted = 202;
-/// How long another daemon may take to confirm that it drains.
+/// Timeout for another daemon to confirm that it is draining.
 constexpr core::Duration kPeerTimeout = std::chrono::seconds(1);
 constexpr const char* kPeerDrainPath = "/peer/drain";
 
@@ -60,7 +60,8 @@
   co_return http::json_response(kOk, status_json(status));
 }
 
-/// Asks \p member itself to drain. \return whether it said that it does.
+/// Asks \p member to drain.
+/// \return whether it confirmed
 asio::awaitable<bool> ask_to_drain(Context context, wire::Member member) {
   http::Request request;
   request.head.method = "POST";
@@ -85,10 +86,11 @@
   }
   bool confirmed = true;
   if (node == context->gossip.self().node) {
-    context->drain.begin_drain("asked by an operator");
+    context->drain.begin_drain("requested by an operator");
   } else {
-    // The mark spreads by gossip and sticks, also where the daemon itself cannot
-    // be reached; asking it only makes it faster and says whether it heard.
+    // The mark spreads by gossip and is permanent, even when the daemon itself cannot be
+    // reached. The direct request only speeds this up and confirms that the daemon received
+    // it.
     context->gossip.mark_leaving(node);
     confirmed = co_await ask_to_drain(context, *found);
   }
@@ -117,9 +119,10 @@
   const bool meant = body.at("node").get<std::string>() == self.node.value() &&
                      body.at("life").get<std::uint64_t>() == wire::life_of(self.incarnation);
   if (!meant) {
-    co_return error_answer(core::ErrorCode::kConflict, "another process is at this address now");
+    co_return error_answer(core::ErrorCode::kConflict,
+                           "this address now belongs to another process");
   }
-  context->drain.begin_drain("asked by another daemon");
+  context->drain.begin_drain("requested by another daemon");
   co_return http::json_response(kAccepted, "{}");
 }
 
--- a/src/controllers/operator_routes.hpp
+++ b/src/controllers/operator_routes.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Operators' routes on members, replicas and weights, and the peers' route by
-/// which one daemon drains another. Handlers run on the control thread,
-/// whichever thread the listener has.
+/// Operator API routes for members, replicas and weights, and the peer route through which
+/// one daemon drains another. Handlers run on the control thread, regardless of the
+/// listener's thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,19 +18,19 @@
 
 namespace stoneport::controllers {
 
-/// What the routes read and act on; all of it outlives the router.
+/// Objects that the routes use; all must outlive the router.
 struct OperatorContext {
   boost::asio::any_io_executor control;
   GossipController& gossip;
   RoutingTableController& routing;
   PolicyVersions& versions;
   DrainController& drain;
-  http::Client& client;  ///< of the control thread
+  http::Client& client;  ///< client of the control thread
   const core::TimeSource& time;
   std::function<std::shared_ptr<const config::Configuration>()> configuration;
-  /// Whether this daemon serves.
+  /// Returns whether this daemon is ready to serve.
   std::function<bool()> ready;
-  /// How the table service answers, such as "ok" or "unavailable".
+  /// Returns the state of the table service, such as "ok" or "unavailable".
   std::function<std::string()> store_state;
 };
 
@@ -39,7 +39,7 @@
 /// `POST /v1/operator/replicas/{id}/drain`.
 void register_operator_routes(http::Router& router, std::shared_ptr<OperatorContext> context);
 
-/// Adds `POST /peer/drain`, for the listener between daemons.
+/// Adds `POST /peer/drain` to the router of the listener between daemons.
 void register_drain_peer_route(http::Router& router, std::shared_ptr<OperatorContext> context);
 
 }  // namespace stoneport::controllers
--- a/src/controllers/policy_versions.hpp
+++ b/src/controllers/policy_versions.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The newest published weight version of each policy. Control thread only.
+/// Newest published weight version of each policy. Control thread only.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,11 +14,11 @@
 class PolicyVersions {
  public:
   virtual ~PolicyVersions() = default;
-  /// Records that \p version of \p policy is published; a lower or equal one
-  /// than known is success without effect. The other daemons learn of it.
+  /// Records that \p version of \p policy is published and spreads it to the other daemons.
+  /// Succeeds without effect if the known version is equal or higher.
   virtual boost::asio::awaitable<core::Result<void>> publish(core::PolicyName policy,
                                                              core::WeightVersion version) = 0;
-  /// \return the newest known, zero when none is.
+  /// \return the newest known version, or zero
   virtual core::WeightVersion newest(const core::PolicyName& policy) const = 0;
   virtual std::map<core::PolicyName, core::WeightVersion> all() const = 0;
   virtual void on_change(std::function<void()> listener) = 0;
--- a/src/controllers/policy_versions_controller.cpp
+++ b/src/controllers/policy_versions_controller.cpp
@@ -22,7 +22,7 @@
   return core::write_json({{kVersionField, version.value()}});
 }
 
-/// \return the row's version; nothing when the row is not ours to understand.
+/// \return the version in the row, or nothing when the row cannot be parsed
 std::optional<core::WeightVersion> decode_version(const std::string& value) {
   const std::optional<nlohmann::json> json = core::parse_json(value);
   if (!json || !json->is_object() || !json->contains(kVersionField) ||
@@ -62,7 +62,7 @@
   }
   gossip_.announce_policy_version({policy, version});
   unwritten_[policy] = std::max(unwritten_[policy], version);
-  // A failed write stays in unwritten_ and run() repeats it.
+  // A failed write stays in unwritten_, and run() retries it.
   const core::Result<void> written = co_await write(policy, version);
   if (!written) {
     write_failures_.Increment();
@@ -87,7 +87,7 @@
     revision = (*row)->revision;
   }
   ports::Transaction transaction;
-  // The same write after a lost answer carries the same id.
+  // A retry after a lost response uses the same id.
   transaction.write_id =
       core::WriteId("policy:" + gossip_.self().node.value() + ":" + policy.value() + ":" +
                     std::to_string(version.value()) + ":" + std::to_string(revision.value()));
--- a/src/controllers/policy_versions_controller.hpp
+++ b/src/controllers/policy_versions_controller.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// PolicyVersions over gossip and the table service. A policy has one publisher,
-/// the daemon beside its trainer, and versions only grow, so gossip may run
-/// ahead of the store: publish() tells the members at once and succeeds also
-/// while the store is down; the row is written when the store is back
-/// (docs/design/weights.md). Owned by the control thread.
+/// Implements PolicyVersions with gossip and the table service. Each policy has one
+/// publisher, the daemon next to its trainer, and versions only increase, so gossip may be
+/// ahead of the store. publish() informs the members at once and succeeds even while the
+/// store is down; the row is written when the store has recovered (docs/design/weights.md).
+/// Owned by the control thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -20,7 +20,7 @@
   PolicyVersionsController(boost::asio::any_io_executor executor, GossipController& gossip,
                            ports::TableService& table, core::Metrics& metrics);
 
-  /// Starts reading the rows, and writing those that the store has not taken.
+  /// Starts reading the rows and writing versions that are not stored yet.
   void start();
   void stop() { alive_.reset(); }
 
@@ -33,13 +33,13 @@
   void on_change(std::function<void()> listener) override {
     gossip_.on_policy_change(std::move(listener));
   }
-  /// \return versions published here that the store has not confirmed yet.
+  /// \return versions published here that the store has not confirmed yet
   const std::map<core::PolicyName, core::WeightVersion>& unwritten() const { return unwritten_; }
 
  private:
   boost::asio::awaitable<void> run(std::weak_ptr<bool> alive);
   boost::asio::awaitable<core::Result<void>> load();
-  /// \return whether nothing is left to write.
+  /// \return whether nothing is left to write
   boost::asio::awaitable<bool> write_unwritten(std::weak_ptr<bool> alive);
   boost::asio::awaitable<core::Result<void>> write(core::PolicyName policy,
                                                    core::WeightVersion version);
--- a/src/controllers/prefix_sample.cpp
+++ b/src/controllers/prefix_sample.cpp
@@ -20,7 +20,8 @@
 
 void PrefixSample::apply(const ports::CacheEvents& events) {
   if (events.gap) {
-    // An eviction may be among the lost events: what was known proves nothing.
+    // The missing events may include an eviction, so the known prefixes are no longer
+    // reliable.
     hash_by_sequence_.clear();
     sequence_by_hash_.clear();
   }
--- a/src/controllers/prefix_sample.hpp
+++ b/src/controllers/prefix_sample.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which prompt prefixes a replica's cache holds, followed from its late and
-/// gapped events. Plain state; owned by the replica watcher.
+/// Tracks which prompt prefixes a replica's cache holds, from events that may arrive late
+/// or with gaps. Owned by the replica watcher.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,19 @@
 
 namespace stoneport::controllers {
 
-/// Most prefixes in a published sample: the newest ones.
+/// Maximum number of prefixes in a published sample; the newest ones are kept.
 inline constexpr std::size_t kPublishedPrefixes = 64;
-/// Most prefixes remembered of one replica.
+/// Maximum number of prefixes remembered per replica.
 inline constexpr std::size_t kRememberedPrefixes = 4096;
 
 class PrefixSample {
  public:
   void apply(const ports::CacheEvents& events);
-  /// Forgets everything; for a replica that started anew.
+  /// Forgets everything; called when the replica has restarted.
   void clear();
-  /// \return the sequence to ask for events after.
+  /// \return the sequence number after which to request events
   std::uint64_t latest_sequence() const { return latest_sequence_; }
-  /// \return the hashes stored last, sorted, at most kPublishedPrefixes.
+  /// \return up to kPublishedPrefixes of the most recently stored hashes, sorted
   std::vector<std::uint64_t> newest() const;
 
  private:
--- a/src/controllers/replica_reports.cpp
+++ b/src/controllers/replica_reports.cpp
@@ -42,8 +42,8 @@
   return best;
 }
 
-std::optional<core::MonotonicTime> ReplicaReports::heard(const core::ReplicaId& replica,
-                                                         const core::NodeId& watcher) const {
+std::optional<core::MonotonicTime> ReplicaReports::last_report_time(
+    const core::ReplicaId& replica, const core::NodeId& watcher) const {
   const auto found = reports_.find(replica);
   if (found == reports_.end()) {
     return std::nullopt;
--- a/src/controllers/replica_reports.hpp
+++ b/src/controllers/replica_reports.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the watchers say of each replica, and which of them to believe. Plain
-/// state; owned by the replica watcher.
+/// Holds the watchers' reports on each replica and selects the one to use. Owned by the
+/// replica watcher.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace stoneport::controllers {
 
-/// Older reports say nothing about whether the replica is reachable now.
+/// Maximum age at which a report indicates whether the replica is reachable.
 inline constexpr core::Duration kReportFreshness = std::chrono::seconds(12);
 
 struct TimedReport {
@@ -23,18 +23,19 @@
 
 class ReplicaReports {
  public:
-  /// Takes in what \p watcher read at \p taken_at. An older report than the one
-  /// known of that watcher is dropped; left out prefixes stay as they were.
-  /// \return whether it was taken in.
+  /// Adds a report that \p watcher read at \p taken_at. Dropped if a newer report of that
+  /// watcher is known. Omitted prefixes keep their previous value.
+  /// \return whether the report was accepted
   bool add(const core::NodeId& watcher, wire::ReplicaReport report, core::MonotonicTime taken_at);
 
-  /// \return the newest fresh report that says the replica is reachable, else
-  /// the newest of all: one watcher that is cut off takes no replica away.
+  /// \return the newest fresh report in which the replica is reachable, otherwise the
+  /// newest report. A watcher that is cut off from a replica therefore does not make it
+  /// unavailable while the other watcher reaches it.
   const TimedReport* best(const core::ReplicaId& replica, core::MonotonicTime now) const;
-  /// \return when \p watcher last said something of \p replica.
-  std::optional<core::MonotonicTime> heard(const core::ReplicaId& replica,
-                                           const core::NodeId& watcher) const;
-  /// Forgets all but \p replicas.
+  /// \return the time of \p watcher's last report on \p replica
+  std::optional<core::MonotonicTime> last_report_time(const core::ReplicaId& replica,
+                                                      const core::NodeId& watcher) const;
+  /// Drops all reports except those on \p replicas.
   void keep_only(const std::set<core::ReplicaId>& replicas);
 
  private:
--- a/src/controllers/replica_watcher.cpp
+++ b/src/controllers/replica_watcher.cpp
@@ -9,11 +9,13 @@
 
 namespace {
 
-/// One lost poll is no sign; from the second on the replica is unreachable.
+/// A replica counts as unreachable from the second failed poll on; a single lost poll is
+/// not sufficient.
 constexpr std::uint32_t kFailuresUntilUnreachable = 2;
-/// Polls are started a little apart, so that engines are not asked in step.
-constexpr int kPhases = 4;
-/// The watchers' share of a packet's bytes.
+/// Polls are divided into this many groups with staggered start times, so that engines are
+/// not polled at the same moment.
+constexpr int kPollGroups = 4;
+/// Maximum size of a push message within a packet, in bytes.
 constexpr std::size_t kPushBytes = 1200;
 constexpr core::Duration kHealthTimeout = std::chrono::seconds(1);
 constexpr std::uint32_t kPermille = 1000;
@@ -54,7 +56,7 @@
         pushed_bytes(metrics.counter("stoneport_digest_bytes_total",
                                      "Bytes of reports pushed to subscribers")),
         reports(metrics.counter("stoneport_digest_reports_total",
-                                "Reports of replicas taken in from other daemons")),
+                                "Replica reports accepted from other daemons")),
         watched(metrics.gauge("stoneport_watched_replicas", "Replicas that this daemon polls")) {}
   prometheus::Counter& polls;
   prometheus::Counter& failures;
@@ -140,13 +142,13 @@
 }
 
 asio::awaitable<void> ReplicaWatcher::run(std::weak_ptr<bool> alive) {
-  for (int phase = 0; !alive.expired(); phase = (phase + 1) % kPhases) {
+  for (int phase = 0; !alive.expired(); phase = (phase + 1) % kPollGroups) {
     if (choice_is_stale_ && phase == 0) {
       choose_watches();
     }
     int position = 0;
     for (const auto& [replica, watch] : watches_) {
-      if (position++ % kPhases == phase && !watch->polling) {
+      if (position++ % kPollGroups == phase && !watch->polling) {
         watch->polling = true;
         runtime::start(executor_, "replica poll", poll(watch, alive));
       }
@@ -155,7 +157,7 @@
       subscribe();
     }
     push_digests();
-    co_await runtime::sleep_for(settings_.watch_interval / kPhases);
+    co_await runtime::sleep_for(settings_.watch_interval / kPollGroups);
   }
 }
 
@@ -209,7 +211,8 @@
   if (!response) {
     co_return response.error().error;
   }
-  // Any answer is a sign of life: a service need not have this route.
+  // Any response shows that the process is alive, since a service need not implement this
+  // route.
   wire::ReplicaReport result;
   result.replica = core::ReplicaId(watch->machine.id);
   result.incarnation = watch->machine.incarnation;
--- a/src/controllers/replica_watcher.hpp
+++ b/src/controllers/replica_watcher.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// Polls the replicas that rendezvous hashing gives to this daemon, two daemons
-/// per replica, and exchanges what was read with the other daemons. Owned by
-/// the control thread.
+/// Polls the replicas that rendezvous hashing assigns to this daemon, with two daemons per
+/// replica, and exchanges the reports with other daemons. Owned by the control thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -24,7 +23,7 @@
 
 class ReplicaWatcher {
  public:
-  /// Which replicas this daemon routes to, out of the machine list.
+  /// Selects the replicas from the machine list whose reports this daemon needs.
   using Interest = std::function<std::vector<core::ReplicaId>(const std::vector<ports::Machine>&)>;
 
   ReplicaWatcher(boost::asio::any_io_executor executor, MachineListController& machines,
@@ -33,15 +32,15 @@
                  core::Metrics& metrics);
   ~ReplicaWatcher();
 
-  /// Asks for reports of what \p interest names, beside what others name.
+  /// Adds a selector; reports are requested for the union of all selectors.
   void add_interest(Interest interest) { interests_.push_back(std::move(interest)); }
   void start();
   void stop() { alive_.reset(); }
 
   const ReplicaReports& reports() const { return reports_; }
-  /// \return the replicas that this daemon polls itself.
+  /// \return the replicas that this daemon polls itself
   std::vector<core::ReplicaId> watched() const;
-  /// Calls \p listener after each report taken in.
+  /// Registers \p listener, which is called after each accepted report.
   void on_change(std::function<void()> listener) { listeners_.push_back(std::move(listener)); }
 
  private:
--- a/src/controllers/routing_freshness.hpp
+++ b/src/controllers/routing_freshness.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Decides up to when a routing table is known to be current. A process that was
-/// frozen must not go on with what it knew before; one that nobody answers must
-/// serve all the same. Plain code, owned by the control thread.
+/// Determines until when a routing table may be used. A process that was frozen must not
+/// route by outdated information, but a process that receives no gossip answers must
+/// continue to serve. Owned by the control thread.
 #pragma once
 
 #include <optional>
@@ -11,25 +11,25 @@
 namespace stoneport::controllers {
 
 struct FreshnessLimits {
-  /// Traffic uses a table for this long after it was last known to be current.
-  /// Less than the 5 s after which a leaving back end gets no new work, and more
-  /// than a busy control thread and a catch-up without an answer take together.
+  /// Time for which traffic may use a table after it was last known to be current. Shorter
+  /// than the 5 s after which a leaving back end must get no new work, and longer than the
+  /// combined delay of a busy control thread and an unanswered catch-up.
   core::Duration lifetime = std::chrono::seconds(4);
-  /// Gossip's wait for news after a pause ends here, heard or not.
-  core::Duration longest_catch_up = std::chrono::seconds(1);
+  /// Maximum time to wait for gossip to catch up after a pause.
+  core::Duration max_catch_up = std::chrono::seconds(1);
   /// A longer gap between two calls means that this process was paused.
-  core::Duration longest_gap = std::chrono::milliseconds(1500);
+  core::Duration max_update_gap = std::chrono::milliseconds(1500);
 };
 
 class RoutingFreshness {
  public:
   explicit RoutingFreshness(FreshnessLimits limits = {}) : limits_(limits) {}
 
-  /// To be called every 100 ms or so.
-  /// \param gossip_current whether gossip has heard of what happened in the last pause
-  /// \return whether what is known at \p now may be called current.
+  /// Call about every 100 ms.
+  /// \param gossip_current whether gossip has received the updates from the last pause
+  /// \return whether the information held at \p now counts as current
   bool update(bool gossip_current, core::MonotonicTime now);
-  /// \return up to when a table made after the last update() may be used.
+  /// \return the time until which a table built after the last update() may be used
   core::MonotonicTime current_until() const { return current_at_ + limits_.lifetime; }
 
  private:
--- a/src/controllers/routing_table_builder.cpp
+++ b/src/controllers/routing_table_builder.cpp
@@ -34,7 +34,7 @@
 
 bool was_refused(const Machine& machine, const TimedReport* report, const RoutingInputs& inputs) {
   const auto refusal = inputs.refusals.find(machine.address);
-  if (refusal == inputs.refusals.end() || inputs.now - refusal->second > kRefusalLength) {
+  if (refusal == inputs.refusals.end() || inputs.now - refusal->second > kRefusalCooldown) {
     return false;
   }
   const bool reached_since =
@@ -53,7 +53,7 @@
     return ReplicaState::kDown;
   }
   if (report == nullptr) {
-    return ReplicaState::kUsable;  // listed, and no watcher has reported yet
+    return ReplicaState::kUsable;  // listed, but no watcher has reported yet
   }
   if (inputs.now - report->taken_at > kReportFreshness) {
     return ReplicaState::kSuspect;
--- a/src/controllers/routing_table_builder.hpp
+++ b/src/controllers/routing_table_builder.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Builds the routing table out of all that is known of the replicas. Plain
-/// functions: inputs and a time go in, a table comes out.
+/// Builds the routing table from everything that is known about the replicas. Pure
+/// functions of their inputs and the time.
 #pragma once
 
 #include <map>
@@ -13,12 +13,12 @@
 
 namespace stoneport::controllers {
 
-/// A refused connection keeps a replica out this long, unless a watcher reaches
-/// it later.
-inline constexpr core::Duration kRefusalLength = std::chrono::seconds(5);
+/// Time for which a refused connection excludes a replica, unless a watcher reaches the
+/// replica after the refusal.
+inline constexpr core::Duration kRefusalCooldown = std::chrono::seconds(5);
 
 using DrainMarks = std::map<core::ReplicaId, core::Incarnation>;
-/// When traffic of this daemon was last refused, by address.
+/// Time of the last refused connection from this daemon, by address.
 using Refusals = std::map<core::Address, core::MonotonicTime>;
 
 struct RoutingInputs {
@@ -29,12 +29,12 @@
   core::MonotonicTime now;
 };
 
-/// \return the table; its generation is left at zero.
+/// \return the table, with a generation of zero
 routing::RoutingTable build_routing_table(const RoutingInputs& inputs);
 
-/// \return marks to spread: replicas that the list or their own report shows
-/// leaving, and that are not marked for that incarnation yet. A mark sticks, so
-/// that a lagging list cannot take it back.
+/// \return the drain marks to spread: for replicas that the machine list or their own
+/// report shows as leaving, and whose incarnation is not marked yet. A mark is permanent,
+/// so that an outdated list cannot revert it.
 std::vector<wire::ReplicaDrainMark> missing_drain_marks(const RoutingInputs& inputs);
 
 }  // namespace stoneport::controllers
--- a/src/controllers/routing_table_controller.cpp
+++ b/src/controllers/routing_table_controller.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Changes within this time go into one table.
-constexpr core::Duration kSettleTime = std::chrono::milliseconds(100);
-/// A table is also rebuilt without news: reports grow old, refusals end.
-constexpr core::Duration kLongestAge = std::chrono::seconds(1);
+/// Changes within this time are combined into one table.
+constexpr core::Duration kRebuildDebounce = std::chrono::milliseconds(100);
+/// Maximum age of a table; it is rebuilt even without changes, because reports age and
+/// refusals expire.
+constexpr core::Duration kMaxTableAge = std::chrono::seconds(1);
 
 const routing::Replica* find(const routing::RoutingTable& table, const core::ReplicaId& id) {
   const auto search = [&](const auto& lists) -> const routing::Replica* {
@@ -39,10 +40,12 @@
       gossip_(gossip),
       time_(time),
       rebuilds_(metrics.counter("stoneport_routing_table_builds_total", "Routing tables built")),
-      refusals_total_(metrics.counter("stoneport_refused_connections_total",
-                                      "Connections that back ends refused, as traffic told")),
-      catch_ups_(metrics.counter("stoneport_routing_catch_ups_total",
-                                 "Times that the routing table waited for news after a pause")) {}
+      refusals_total_(
+          metrics.counter("stoneport_refused_connections_total",
+                          "Connections refused by back ends, as reported by traffic threads")),
+      catch_ups_(metrics.counter(
+          "stoneport_routing_catch_ups_total",
+          "Times that the routing table waited for gossip updates after a pause")) {}
 
 void RoutingTableController::start() {
   alive_ = std::make_shared<bool>(true);
@@ -71,14 +74,15 @@
 
 void RoutingTableController::forget_old_refusals() {
   const core::MonotonicTime now = time_.now();
-  std::erase_if(refusals_, [&](const auto& entry) { return now - entry.second > kRefusalLength; });
+  std::erase_if(refusals_,
+                [&](const auto& entry) { return now - entry.second > kRefusalCooldown; });
 }
 
 void RoutingTableController::update_freshness() {
   const bool was_current = current_;
   current_ = freshness_.update(gossip_.current(), time_.now());
   if (current_ && !was_current) {
-    changed_ = true;  // traffic waits for it
+    changed_ = true;  // traffic is waiting for a current table
   }
   if (was_current && !current_) {
     catch_ups_.Increment();
@@ -105,10 +109,10 @@
 asio::awaitable<void> RoutingTableController::run(std::weak_ptr<bool> alive) {
   while (!alive.expired()) {
     update_freshness();
-    if (changed_ || time_.now() - rebuilt_at_ >= kLongestAge) {
+    if (changed_ || time_.now() - rebuilt_at_ >= kMaxTableAge) {
       rebuild();
     }
-    co_await runtime::sleep_for(kSettleTime);
+    co_await runtime::sleep_for(kRebuildDebounce);
   }
 }
 
--- a/src/controllers/routing_table_controller.hpp
+++ b/src/controllers/routing_table_controller.hpp
@@ -21,18 +21,18 @@
                          ReplicaWatcher& watcher, GossipController& gossip,
                          const core::TimeSource& time, core::Metrics& metrics);
 
-  /// Traffic threads subscribe here before they start.
+  /// Traffic threads must subscribe before they start.
   runtime::SnapshotPublisher<routing::RoutingTable>& publisher() { return publisher_; }
   std::shared_ptr<const routing::RoutingTable> current() const { return publisher_.current(); }
 
   void start();
   void stop() { alive_.reset(); }
 
-  /// A back end refused a connection of this daemon. Control thread; traffic
-  /// posts it there.
+  /// Records that a back end refused a connection from this daemon. Control thread only;
+  /// traffic threads post the call there.
   void report_refused(const core::Address& address);
-  /// Marks a replica, in the incarnation known now, as leaving everywhere.
-  /// \return whether the replica is known.
+  /// Marks the current incarnation of a replica as leaving, on all daemons.
+  /// \return whether the replica is known
   bool drain_replica(const core::ReplicaId& replica);
 
  private:
@@ -53,7 +53,7 @@
   Refusals refusals_;
   std::uint64_t generation_ = 0;
   RoutingFreshness freshness_;
-  bool current_ = false;  ///< as the last freshness update said
+  bool current_ = false;  ///< result of the last freshness update
   bool changed_ = true;
   core::MonotonicTime rebuilt_at_{};
   std::shared_ptr<bool> alive_;
--- a/src/controllers/table_claim_registry.cpp
+++ b/src/controllers/table_claim_registry.cpp
@@ -10,12 +10,12 @@
 using ports::TablePriority;
 
 constexpr const char* kTable = "claims";
-constexpr std::size_t kMostGranted = 4096;
-constexpr std::size_t kMostAbandoned = 1024;
-constexpr std::size_t kLongestKey = 512;
+constexpr std::size_t kMaxGrantedClaims = 4096;
+constexpr std::size_t kMaxAbandonedClaims = 1024;
+constexpr std::size_t kMaxKeyBytes = 512;
 constexpr core::Duration kReleaseInterval = std::chrono::seconds(2);
-/// Longer than any request to the store is kept on its way.
-constexpr core::Duration kAbandonedMemory = std::chrono::minutes(10);
+/// Longer than any request to the store can remain in flight.
+constexpr core::Duration kAbandonedClaimRetention = std::chrono::minutes(10);
 
 core::Result<std::optional<StoredClaim>> stored_claim(
     const core::Result<std::optional<ports::Row>>& answer) {
@@ -40,13 +40,13 @@
   return stored;
 }
 
-/// \return whether the body can stand in the row itself.
+/// \return whether the body can be stored in the row itself
 bool fits_row(const StoredOutcome& outcome) {
-  return outcome.body.size() <= kMostInlineBytes && core::is_utf8(outcome.body);
+  return outcome.body.size() <= kMaxInlineBytes && core::is_utf8(outcome.body);
 }
 
 core::Error claim_lost() {
-  return core::make_error(ErrorCode::kConflict, "the claim is not in force any more");
+  return core::make_error(ErrorCode::kConflict, "the claim is no longer valid");
 }
 
 }  // namespace
@@ -54,12 +54,12 @@
 struct TableClaimRegistry::Counters {
   explicit Counters(core::Metrics& metrics) : metrics_(metrics) {}
   prometheus::Counter& claim(const char* end) {
-    return metrics_.counter("stoneport_claims_total", "Claims of idempotency keys by end",
+    return metrics_.counter("stoneport_claims_total", "Claims of idempotency keys, by outcome",
                             {{"end", end}});
   }
   prometheus::Counter& abandoned(const char* event) {
     return metrics_.counter("stoneport_claims_abandoned_total",
-                            "Claims that were never sent under, by event", {{"event", event}});
+                            "Claims under which no request was sent, by event", {{"event", event}});
   }
   core::Metrics& metrics_;
   prometheus::Counter& granted = claim("granted");
@@ -82,8 +82,8 @@
       time_(time),
       claim_ids_("claim", node, incarnation),
       write_ids_("claim-change", node, incarnation),
-      granted_(kMostGranted),
-      abandoned_(kMostAbandoned),
+      granted_(kMaxGrantedClaims),
+      abandoned_(kMaxAbandonedClaims),
       counters_(std::make_unique<Counters>(metrics)) {}
 
 TableClaimRegistry::~TableClaimRegistry() = default;
@@ -167,7 +167,7 @@
 
 boost::asio::awaitable<core::Result<filters::ClaimAnswer>> TableClaimRegistry::claim_here(
     filters::ClaimKey key) {
-  if (key.idempotency_key.empty() || key.idempotency_key.size() > kLongestKey) {
+  if (key.idempotency_key.empty() || key.idempotency_key.size() > kMaxKeyBytes) {
     counters_->refused.Increment();
     co_return core::make_error(ErrorCode::kInvalidArgument,
                                "an idempotency key has 1 to 512 bytes");
@@ -277,7 +277,7 @@
 
 boost::asio::awaitable<void> TableClaimRegistry::release_abandoned() {
   const core::MonotonicTime now = time_.now();
-  const std::size_t old = abandoned_.remove_older_than(now - kAbandonedMemory);
+  const std::size_t old = abandoned_.remove_older_than(now - kAbandonedClaimRetention);
   counters_->forgotten.Increment(static_cast<double>(old));
   for (const AbandonedClaim& abandoned : abandoned_.take_due(now)) {
     co_await release_one(abandoned);
--- a/src/controllers/table_claim_registry.hpp
+++ b/src/controllers/table_claim_registry.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Claims of idempotency keys as rows of the table service. Called from any
-/// thread; all state and all store calls are on the control thread.
-/// docs/design/claims.md
+/// Claims idempotency keys through rows of the table service. May be called from any
+/// thread; all state and all store calls are on the control thread. See
+/// docs/design/claims.md.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -19,9 +19,9 @@
 
 class TableClaimRegistry : public filters::ClaimRegistry {
  public:
-  /// \p table, \p objects and \p time outlive the registry and live on the thread
-  /// of \p control.
-  /// \param incarnation differs from that of every earlier process of \p node
+  /// \param control runs on the thread of \p table, \p objects and \p time, which must
+  /// outlive the registry
+  /// \param incarnation must differ from that of every earlier process of \p node
   TableClaimRegistry(boost::asio::any_io_executor control, ports::TableService& table,
                      ports::ObjectStore& objects, const core::TimeSource& time,
                      const core::NodeId& node, core::Incarnation incarnation,
@@ -34,11 +34,11 @@
   boost::asio::awaitable<core::Result<void>> release(filters::ClaimKey key,
                                                      core::WriteId claim) override;
 
-  /// Releases abandoned claims every few seconds until stop(). Start once, on
-  /// the control thread.
+  /// Releases abandoned claims every few seconds until stop(). Start once, on the control
+  /// thread.
   boost::asio::awaitable<void> run();
   void stop() { stopping_ = true; }
-  /// One pass over the abandoned claims; control thread only.
+  /// Processes the abandoned claims that are due; control thread only.
   boost::asio::awaitable<void> release_abandoned();
 
  private:
--- a/src/controllers/weights_controller.cpp
+++ b/src/controllers/weights_controller.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr core::Duration kPace = std::chrono::milliseconds(250);
+constexpr core::Duration kRoundInterval = std::chrono::milliseconds(250);
 
 }  // namespace
 
@@ -37,9 +37,9 @@
         failures(metrics.counter("stoneport_weight_order_failures_total",
                                  "Orders that engines refused or that were lost")),
         fenced(metrics.counter("stoneport_weight_orders_fenced_total",
-                               "Orders refused because a later owner is in force")),
+                               "Orders refused because an owner with a later epoch exists")),
         not_owned(metrics.counter("stoneport_weight_orders_withheld_total",
-                                  "Orders not sent because the lease had lapsed")) {}
+                                  "Orders not sent because the lease had expired")) {}
   prometheus::Counter& orders;
   prometheus::Counter& failures;
   prometheus::Counter& fenced;
@@ -72,21 +72,21 @@
 asio::awaitable<void> WeightsController::run(std::weak_ptr<bool> alive) {
   while (!alive.expired()) {
     run_round();
-    co_await runtime::sleep_for(kPace);
+    co_await runtime::sleep_for(kRoundInterval);
   }
 }
 
 void WeightsController::run_round() {
-  choose_models();
-  for (const auto& [model, own] : own_models_) {
+  update_owned_models();
+  for (const auto& [model, own] : owned_models_) {
     advance(model, own);
   }
 }
 
-void WeightsController::choose_models() {
+void WeightsController::update_owned_models() {
   const std::vector<wire::Member> members = membership_.members();
   const core::NodeId self = membership_.self().node;
-  std::map<core::ModelName, std::shared_ptr<OwnModel>> chosen;
+  std::map<core::ModelName, std::shared_ptr<OwnedModel>> chosen;
   std::set<std::string> leases;
   for (const auto& [model, policy] : policies_of_models(*inputs_.configuration())) {
     const std::vector<wire::Member> owner = ranked_members(members, weights_lease(model), 1);
@@ -94,12 +94,13 @@
       continue;
     }
     leases.insert(weights_lease(model));
-    const auto known = own_models_.find(model);
-    const bool same = known != own_models_.end() && known->second->policy == policy;
-    chosen[model] = same ? known->second
-                         : std::make_shared<OwnModel>(OwnModel{policy, WeightsRollout(settings_)});
+    const auto known = owned_models_.find(model);
+    const bool same = known != owned_models_.end() && known->second->policy == policy;
+    chosen[model] =
+        same ? known->second
+             : std::make_shared<OwnedModel>(OwnedModel{policy, WeightsRollout(settings_)});
   }
-  own_models_ = std::move(chosen);
+  owned_models_ = std::move(chosen);
   ownership_.set_wanted(std::move(leases));
 }
 
@@ -113,7 +114,7 @@
     const core::ReplicaId replica(machine.id);
     const TimedReport* timed = inputs_.reports.best(replica, time_.now());
     if (timed == nullptr) {
-      continue;  // nothing is known of what it runs
+      continue;  // it is unknown what the replica runs
     }
     const wire::ReplicaReport& report = timed->report;
     const bool fresh = time_.now() - timed->taken_at <= kReportFreshness;
@@ -125,13 +126,13 @@
 }
 
 void WeightsController::advance(const core::ModelName& model,
-                                const std::shared_ptr<OwnModel>& own) {
+                                const std::shared_ptr<OwnedModel>& own) {
   const std::optional<core::Epoch> epoch = ownership_.fenced_epoch(weights_lease(model));
   if (!epoch) {
     return;
   }
   if (*epoch != own->epoch) {
-    // What an earlier epoch ordered proves nothing now.
+    // Orders from an earlier epoch prove nothing now.
     own->epoch = *epoch;
     own->fenced = false;
     own->rollout = WeightsRollout(settings_);
@@ -140,17 +141,17 @@
   if (own->fenced || newest == core::WeightVersion{}) {
     return;
   }
-  if (newest > own->rollout.target().version && !own->asking_store) {
-    own->asking_store = true;
-    runtime::start(executor_, "weights target", aim(own, newest));
+  if (newest > own->rollout.target().version && !own->store_read_pending) {
+    own->store_read_pending = true;
+    runtime::start(executor_, "weights target", update_target(own, newest));
   }
   for (RolloutOrder& order : own->rollout.plan(replicas_of(model), time_.now())) {
     runtime::start(executor_, "weights order", send(model, own, std::move(order)));
   }
 }
 
-asio::awaitable<void> WeightsController::aim(std::shared_ptr<OwnModel> own,
-                                             core::WeightVersion version) {
+asio::awaitable<void> WeightsController::update_target(std::shared_ptr<OwnedModel> own,
+                                                       core::WeightVersion version) {
   RolloutTarget target{own->policy, version, 0, 0};
   const auto status = co_await store_.status(own->policy);
   if (status) {
@@ -161,17 +162,17 @@
       }
     }
   }
-  // Without the store's answer the rollout goes on with its shortest timeouts.
+  // If the store does not answer, the rollout proceeds with its minimum timeouts.
   own->rollout.set_target(target);
-  own->asking_store = false;
+  own->store_read_pending = false;
   spdlog::info("weights of policy {}: version {} is the target", own->policy.value(),
                version.value());
 }
 
-asio::awaitable<void> WeightsController::send(core::ModelName model, std::shared_ptr<OwnModel> own,
-                                              RolloutOrder order) {
+asio::awaitable<void> WeightsController::send(core::ModelName model,
+                                              std::shared_ptr<OwnedModel> own, RolloutOrder order) {
   const std::shared_ptr<ports::ModelEngine> engine = engines_.engine_at(order.address);
-  // Asked again right before the effect: the lease may have lapsed since.
+  // Checked again immediately before the effect, because the lease may have expired.
   const std::optional<core::Epoch> epoch = ownership_.fenced_epoch(weights_lease(model));
   if (!epoch || *epoch != own->epoch || own->fenced) {
     meters_->not_owned.Increment();
@@ -196,7 +197,7 @@
   std::vector<core::ReplicaId> replicas;
   for (const ports::Machine& machine : machines) {
     if (machine.role == ports::MachineRole::kEngine &&
-        own_models_.contains(core::ModelName(machine.serves))) {
+        owned_models_.contains(core::ModelName(machine.serves))) {
       replicas.emplace_back(machine.id);
     }
   }
@@ -205,7 +206,7 @@
 
 std::map<core::ModelName, RolloutPhase> WeightsController::phases() const {
   std::map<core::ModelName, RolloutPhase> phases;
-  for (const auto& [model, own] : own_models_) {
+  for (const auto& [model, own] : owned_models_) {
     phases.emplace(model, own->rollout.phase());
   }
   return phases;
--- a/src/controllers/weights_controller.hpp
+++ b/src/controllers/weights_controller.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Runs one WeightsRollout for each model that rendezvous hashing gives to this
-/// daemon and whose lease it holds. Verifies by the watchers' reports, never by
-/// what was ordered. Owned by the control thread.
+/// Runs one WeightsRollout for each model that rendezvous hashing assigns to this daemon
+/// and whose lease it holds. Progress is judged by the watchers' reports, never by the
+/// orders sent. Owned by the control thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -21,15 +21,15 @@
 
 namespace stoneport::controllers {
 
-/// \return the policy that each model serves: that of the first event, in order
-/// of name, whose template names the model.
+/// \return the policy that each model serves, taken from the first event, by name, whose
+/// template names the model
 std::map<core::ModelName, core::PolicyName> policies_of_models(
     const config::Configuration& configuration);
 
-/// \return the name of the lease under which \p model's weights are ordered.
+/// \return the name of the lease under which \p model's weights are ordered
 std::string weights_lease(const core::ModelName& model);
 
-/// Where the controller reads what it needs of other controllers.
+/// Inputs that the controller reads from other controllers.
 struct WeightsInputs {
   std::function<std::shared_ptr<const config::Configuration>()> configuration;
   std::function<std::shared_ptr<const std::vector<ports::Machine>>()> machines;
@@ -48,31 +48,32 @@
 
   void start();
   void stop() { alive_.reset(); }
-  /// One look at everything; start() does this again and again.
+  /// Checks all models once; start() calls this periodically.
   void run_round();
 
-  /// \return replicas of the models that this daemon looks after; an interest
-  /// for the replica watcher.
+  /// \return the replicas of the models assigned to this daemon; used as a selector of the
+  /// replica watcher
   std::vector<core::ReplicaId> replicas_of_own_models(
       const std::vector<ports::Machine>& machines) const;
-  /// \return the phase of the rollout of each model that this daemon looks after.
+  /// \return the rollout phase of each model assigned to this daemon
   std::map<core::ModelName, RolloutPhase> phases() const;
 
  private:
   struct Meters;
-  struct OwnModel {
+  struct OwnedModel {
     core::PolicyName policy;
     WeightsRollout rollout;
-    core::Epoch epoch;  ///< under which the rollout has been run so far
+    core::Epoch epoch;  ///< epoch under which the rollout has run so far
     bool fenced = false;
-    bool asking_store = false;
+    bool store_read_pending = false;
   };
 
   boost::asio::awaitable<void> run(std::weak_ptr<bool> alive);
-  void choose_models();
-  void advance(const core::ModelName& model, const std::shared_ptr<OwnModel>& own);
-  boost::asio::awaitable<void> aim(std::shared_ptr<OwnModel> own, core::WeightVersion version);
-  boost::asio::awaitable<void> send(core::ModelName model, std::shared_ptr<OwnModel> own,
+  void update_owned_models();
+  void advance(const core::ModelName& model, const std::shared_ptr<OwnedModel>& own);
+  boost::asio::awaitable<void> update_target(std::shared_ptr<OwnedModel> own,
+                                             core::WeightVersion version);
+  boost::asio::awaitable<void> send(core::ModelName model, std::shared_ptr<OwnedModel> own,
                                     RolloutOrder order);
   std::vector<ReplicaWeights> replicas_of(const core::ModelName& model) const;
 
@@ -86,7 +87,7 @@
   RolloutSettings settings_;
   const core::TimeSource& time_;
   std::unique_ptr<Meters> meters_;
-  std::map<core::ModelName, std::shared_ptr<OwnModel>> own_models_;
+  std::map<core::ModelName, std::shared_ptr<OwnedModel>> owned_models_;
   std::shared_ptr<bool> alive_;
 };
 
