--- a/src/controllers/weights_rollout.cpp
+++ b/src/controllers/weights_rollout.cpp
@@ -7,11 +7,11 @@
 namespace stoneport::controllers {
 namespace {
 
-/// A prefetch is given this many times the time that the store's rate allows.
-constexpr int kPatience = 2;
-/// Refused or lost orders after which a prefetch is given up.
-constexpr std::uint32_t kMostPrefetchFailures = 3;
-constexpr std::uint32_t kMostDoublings = 10;
+/// A prefetch times out after this multiple of the time that the store's rate allows for.
+constexpr int kPrefetchTimeoutFactor = 2;
+/// Refused or lost orders after which prefetching on a replica is given up.
+constexpr std::uint32_t kMaxPrefetchFailures = 3;
+constexpr std::uint32_t kMaxRetryDoublings = 10;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
   Progress& progress = found->second;
   progress.prefetch_sent = std::nullopt;
   ++progress.prefetch_failures;
-  progress.prefetch_given_up = progress.prefetch_failures >= kMostPrefetchFailures;
+  progress.prefetch_given_up = progress.prefetch_failures >= kMaxPrefetchFailures;
 }
 
 bool WeightsRollout::is_behind(const ReplicaWeights& replica) const {
@@ -51,13 +51,13 @@
   return core::from_seconds(bytes / static_cast<double>(target_.bytes_per_second));
 }
 
-/// The time includes the report's delay, so the rate is never taken for higher
-/// than it is and the store is rather shared by too many than left idle.
-void WeightsRollout::note_transfer(Progress& progress, core::MonotonicTime now) {
-  if (!progress.prefetch_sent || progress.transfer_noted) {
+/// The measured time includes the report's delay, so the rate is never overestimated. Too
+/// many concurrent readers are preferred to an idle store.
+void WeightsRollout::record_transfer(Progress& progress, core::MonotonicTime now) {
+  if (!progress.prefetch_sent || progress.transfer_measured) {
     return;
   }
-  progress.transfer_noted = true;
+  progress.transfer_measured = true;
   const double seconds = core::to_seconds(now - *progress.prefetch_sent);
   if (seconds > 0) {
     const double rate = static_cast<double>(target_.size_bytes) / seconds;
@@ -65,18 +65,18 @@
   }
 }
 
-/// Whoever reads beside so many still has its weights within short_transfer, whatever
-/// rate one replica reaches: to begin with fewer would gain nobody anything.
-double WeightsRollout::served_in_short_transfer() const {
+/// With this many readers each still finishes within target_transfer_time, whatever rate a
+/// single replica reaches, so that starting with fewer would have no benefit.
+double WeightsRollout::prefetches_within_target_time() const {
   if (target_.size_bytes == 0) {
     return 0;
   }
-  const double bytes =
-      static_cast<double>(target_.bytes_per_second) * core::to_seconds(settings_.short_transfer);
+  const double bytes = static_cast<double>(target_.bytes_per_second) *
+                       core::to_seconds(settings_.target_transfer_time);
   return std::floor(bytes / static_cast<double>(target_.size_bytes));
 }
 
-double WeightsRollout::needed_to_use_up_store() const {
+double WeightsRollout::prefetches_to_saturate_store() const {
   if (fastest_bytes_per_second_ <= 0) {
     return 0;
   }
@@ -85,23 +85,23 @@
 
 std::uint32_t WeightsRollout::parallel_prefetches() const {
   const double least = settings_.parallel_prefetches;
-  const double most = std::max(settings_.parallel_prefetches, settings_.most_parallel_prefetches);
-  const double wanted = std::max(served_in_short_transfer(), needed_to_use_up_store());
+  const double most = std::max(settings_.parallel_prefetches, settings_.max_parallel_prefetches);
+  const double wanted = std::max(prefetches_within_target_time(), prefetches_to_saturate_store());
   return static_cast<std::uint32_t>(std::clamp(wanted, least, most));
 }
 
 core::Duration WeightsRollout::prefetch_timeout() const {
-  return std::max(settings_.shortest_prefetch_timeout,
-                  kPatience * transfer_time(parallel_prefetches()));
+  return std::max(settings_.min_prefetch_timeout,
+                  kPrefetchTimeoutFactor * transfer_time(parallel_prefetches()));
 }
 
-void WeightsRollout::follow(const std::vector<ReplicaWeights>& replicas) {
+void WeightsRollout::update_progress(const std::vector<ReplicaWeights>& replicas) {
   std::set<core::ReplicaId> present;
   for (const ReplicaWeights& replica : replicas) {
     present.insert(replica.replica);
     Progress& progress = progress_[replica.replica];
     if (progress.incarnation != replica.incarnation) {
-      progress = Progress{};  // a new process knows nothing of earlier orders
+      progress = Progress{};  // a new process has not received the earlier orders
       progress.incarnation = replica.incarnation;
     }
     if (!is_behind(replica)) {
@@ -117,7 +117,7 @@
   if (phase_ == RolloutPhase::kIdle) {
     return orders;
   }
-  follow(replicas);
+  update_progress(replicas);
   std::vector<const ReplicaWeights*> behind;
   for (const ReplicaWeights& replica : replicas) {
     if (is_behind(replica)) {
@@ -129,7 +129,7 @@
     return orders;
   }
   if (phase_ == RolloutPhase::kConverged) {
-    phase_ = RolloutPhase::kSwitching;  // a replica came back with an older version
+    phase_ = RolloutPhase::kSwitching;  // a replica restarted with an older version
   }
   const bool all_prefetched = std::all_of(behind.begin(), behind.end(), [&](const auto* replica) {
     return is_prefetched(*replica) || progress_.at(replica->replica).prefetch_given_up;
@@ -151,7 +151,7 @@
   for (const ReplicaWeights* replica : behind) {
     Progress& progress = progress_.at(replica->replica);
     if (is_prefetched(*replica)) {
-      note_transfer(progress, now);
+      record_transfer(progress, now);
     }
     if (is_prefetched(*replica) || progress.load_sent || progress.prefetch_given_up) {
       continue;
@@ -161,7 +161,7 @@
     } else if (now - *progress.prefetch_sent <= prefetch_timeout()) {
       ++in_flight;
     } else {
-      progress.prefetch_given_up = true;  // loading fetches what is missing
+      progress.prefetch_given_up = true;  // the load order fetches what is missing
     }
   }
   for (const ReplicaWeights* replica : waiting) {
@@ -179,9 +179,9 @@
   if (!progress.load_sent) {
     return true;
   }
-  const std::uint32_t doublings = std::min(progress.loads - 1, kMostDoublings);
-  const core::Duration wait =
-      std::min(settings_.longest_load_retry, settings_.first_load_retry * (1 << doublings));
+  const std::uint32_t doublings = std::min(progress.loads - 1, kMaxRetryDoublings);
+  const core::Duration wait = std::min(settings_.max_load_retry_interval,
+                                       settings_.initial_load_retry_interval * (1 << doublings));
   return now - *progress.load_sent >= wait;
 }
 
--- a/src/controllers/weights_rollout.hpp
+++ b/src/controllers/weights_rollout.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Brings the replicas of one model to the newest version of its policy:
-/// prefetch everywhere within the weight store's rate, then switch together,
-/// and order again whatever the reports do not confirm. Plain state machine;
-/// owned by the weights controller that holds the model's lease.
+/// Brings the replicas of one model to the newest version of its policy: prefetches on all
+/// within the weight store's rate, switches them, and repeats orders that the reports do
+/// not confirm. State machine without I/O; owned by the weights controller that holds the
+/// model's lease.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace stoneport::controllers {
 
-/// One replica as the last report describes it.
+/// State of one replica according to its last report.
 struct ReplicaWeights {
   core::ReplicaId replica;
   core::Address address;
@@ -31,31 +31,32 @@
   core::PolicyName policy;
   core::WeightVersion version;
   std::uint64_t size_bytes = 0;        ///< zero: unknown
-  std::uint64_t bytes_per_second = 0;  ///< of the weight store, over all readers; zero: unknown
+  std::uint64_t bytes_per_second = 0;  ///< total read rate of the weight store; zero: unknown
   bool operator==(const RolloutTarget&) const = default;
 };
 
-/// When replicas that have the weights are told to switch.
+/// When replicas that have prefetched the weights are ordered to switch.
 enum class SwitchOrder {
-  kTogether,  ///< all in one go, once the last one has them
+  kTogether,  ///< all at once, when the last one has them
   kAsReady,   ///< each as soon as it has them
 };
 
 struct RolloutSettings {
-  /// Replicas that read from the weight store at a time.
+  /// Minimum number of replicas that may read from the weight store concurrently.
   std::uint32_t parallel_prefetches = 8;
-  /// Up to so many where short_transfer allows it, or once transfers have shown that
-  /// fewer do not use up the store's rate; zero: never more than above.
-  std::uint32_t most_parallel_prefetches = 0;
-  /// As many read at a time as the store's rate serves within this time; zero: only
-  /// the number above and what transfers have shown count.
-  core::Duration short_transfer{};
-  /// Least time that a prefetch is given before it is ordered again.
-  core::Duration shortest_prefetch_timeout = std::chrono::seconds(5);
-  /// A swap that reports do not confirm is ordered again after this time, and
-  /// after twice as long each further time.
-  core::Duration first_load_retry = std::chrono::seconds(3);
-  core::Duration longest_load_retry = std::chrono::seconds(30);
+  /// Maximum number of concurrent readers. It is used as far as target_transfer_time
+  /// allows, or as far as measured transfers show that fewer readers do not saturate the
+  /// store; zero: always parallel_prefetches.
+  std::uint32_t max_parallel_prefetches = 0;
+  /// Allows as many concurrent readers as the store can serve within this time; zero: only
+  /// parallel_prefetches and measured transfers decide.
+  core::Duration target_transfer_time{};
+  /// Minimum time before an unconfirmed prefetch is ordered again.
+  core::Duration min_prefetch_timeout = std::chrono::seconds(5);
+  /// Delay before a swap that reports do not confirm is ordered again; doubles with each
+  /// further attempt up to the maximum.
+  core::Duration initial_load_retry_interval = std::chrono::seconds(3);
+  core::Duration max_load_retry_interval = std::chrono::seconds(30);
   SwitchOrder switch_order = SwitchOrder::kTogether;
   ports::LoadVersion::RunningStreams running = ports::LoadVersion::RunningStreams::kContinue;
 };
@@ -72,12 +73,12 @@
  public:
   explicit WeightsRollout(RolloutSettings settings) : settings_(settings) {}
 
-  /// Aims at \p target; a lower version than the one aimed at is ignored.
+  /// Sets the target version; a version lower than the current target is ignored.
   void set_target(const RolloutTarget& target);
-  /// \return orders to send now; each counts as sent.
+  /// \return the orders to send now; each is recorded as sent
   std::vector<RolloutOrder> plan(const std::vector<ReplicaWeights>& replicas,
                                  core::MonotonicTime now);
-  /// The replica refused the order or it was lost: it may be sent again soon.
+  /// Records that an order was refused or lost, so that it may soon be sent again.
   void on_order_failed(const core::ReplicaId& replica);
 
   RolloutPhase phase() const { return phase_; }
@@ -91,9 +92,9 @@
     std::uint32_t prefetch_failures = 0;
     std::uint32_t loads = 0;
     bool prefetch_given_up = false;
-    bool transfer_noted = false;
+    bool transfer_measured = false;
   };
-  void follow(const std::vector<ReplicaWeights>& replicas);
+  void update_progress(const std::vector<ReplicaWeights>& replicas);
   bool is_behind(const ReplicaWeights& replica) const;
   bool is_prefetched(const ReplicaWeights& replica) const;
   void plan_prefetches(const std::vector<const ReplicaWeights*>& behind, core::MonotonicTime now,
@@ -103,16 +104,16 @@
   bool load_is_due(const Progress& progress, core::MonotonicTime now) const;
   core::Duration transfer_time(std::size_t replica_count) const;
   core::Duration prefetch_timeout() const;
-  void note_transfer(Progress& progress, core::MonotonicTime now);
-  double served_in_short_transfer() const;
-  double needed_to_use_up_store() const;
+  void record_transfer(Progress& progress, core::MonotonicTime now);
+  double prefetches_within_target_time() const;
+  double prefetches_to_saturate_store() const;
   std::uint32_t parallel_prefetches() const;
 
   RolloutSettings settings_;
   RolloutTarget target_;
   RolloutPhase phase_ = RolloutPhase::kIdle;
   std::map<core::ReplicaId, Progress> progress_;
-  /// Of the fastest transfer to one replica so far, over all targets.
+  /// Rate of the fastest transfer to one replica so far, over all targets.
   double fastest_bytes_per_second_ = 0;
 };
 
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -42,8 +42,8 @@
   controllers::RolloutSettings rollout;
   rollout.switch_order = controllers::SwitchOrder::kAsReady;
   rollout.parallel_prefetches = 3;
-  rollout.most_parallel_prefetches = 600;
-  rollout.short_transfer = std::chrono::seconds(4);
+  rollout.max_parallel_prefetches = 600;
+  rollout.target_transfer_time = std::chrono::seconds(4);
   return rollout;
 }
 
--- a/src/daemon/control_plane.hpp
+++ b/src/daemon/control_plane.hpp
@@ -13,7 +13,7 @@
 #include "controllers/configuration_controller.hpp"
 #include "controllers/gossip_controller.hpp"
 #include "controllers/gossip_endpoint.hpp"
-#include "controllers/lease_keeper.hpp"
+#include "controllers/lease_manager.hpp"
 #include "controllers/machine_list_controller.hpp"
 #include "controllers/policy_versions_controller.hpp"
 #include "controllers/replica_watcher.hpp"
@@ -88,7 +88,7 @@
   controllers::RoutingTableController routing_;
   controllers::PolicyVersionsController policy_versions_;
   controllers::ConfigurationController configuration_;
-  controllers::LeaseKeeper leases_;
+  controllers::LeaseManager leases_;
   controllers::WeightsController weights_;
   controllers::TableClaimRegistry claims_;
   runtime::SnapshotPublisher<PolicyVersionMap> policy_snapshots_;
--- a/src/node/gossip_pace.cpp
+++ b/src/node/gossip_pace.cpp
@@ -16,7 +16,7 @@
 controllers::GossipSettings gossip_pace() {
   controllers::GossipSettings settings;
   settings.probe_interval = kProbeInterval;
-  settings.shortest_suspicion = kShortestSuspicion;
+  settings.min_suspicion_timeout = kShortestSuspicion;
   settings.bytes_per_second = kBytesPerSecond;
   return settings;
 }
--- a/src/node/isolation.cpp
+++ b/src/node/isolation.cpp
@@ -11,8 +11,8 @@
   });
 }
 
-bool reaches_others(core::Duration answer_silence) {
-  return answer_silence <= kLongestAnswerSilence;
+bool reaches_others(core::Duration time_since_last_answer) {
+  return time_since_last_answer <= kLongestAnswerSilence;
 }
 
 bool is_isolated(const core::NodeId& self, const wire::MemberMap& members,
--- a/src/node/isolation.hpp
+++ b/src/node/isolation.hpp
@@ -21,9 +21,9 @@
 /// one process 18 s.
 inline constexpr core::Duration kLongestAnswerSilence = std::chrono::milliseconds(2000);
 
-/// \param answer_silence time since another process last answered this one
+/// \param time_since_last_answer time since another process last answered this one
 /// \return whether what the members' list says of others is worth anything.
-bool reaches_others(core::Duration answer_silence);
+bool reaches_others(core::Duration time_since_last_answer);
 
 /// \param store_silence time since the store last served this process
 /// \param is_answered whether other processes still answer this one
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -433,7 +433,7 @@
 }
 
 bool Node::reaches_others() const {
-  return node::reaches_others(gossip_.answer_silence());
+  return node::reaches_others(gossip_.time_since_last_answer());
 }
 
 bool Node::another_is_ready() const {
--- a/tests/contract/caller_claims_test.cpp
+++ b/tests/contract/caller_claims_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Requests that carry an idempotency key and must not be repeated.
+/// Tests requests that carry an idempotency key and must be executed at most once.
 #include "contract/caller_fixture.hpp"
 
 namespace stoneport::caller_test {
@@ -17,13 +17,13 @@
   CPPUNIT_TEST_SUITE(CallerClaimsTest);
   CPPUNIT_TEST(a_repeat_gets_the_first_outcome);
   CPPUNIT_TEST(repeats_after_each_fault_never_run_twice);
-  CPPUNIT_TEST(keys_are_told_apart);
-  CPPUNIT_TEST(another_request_under_the_key_is_refused);
+  CPPUNIT_TEST(keys_are_distinguished);
+  CPPUNIT_TEST(reuse_of_a_key_for_another_request_is_refused);
   CPPUNIT_TEST(without_a_claim_nothing_is_sent);
-  CPPUNIT_TEST(a_claim_that_comes_too_late_is_given_back);
-  CPPUNIT_TEST(a_request_that_did_not_run_gives_its_claim_back);
+  CPPUNIT_TEST(a_claim_granted_too_late_is_released);
+  CPPUNIT_TEST(a_request_that_did_not_run_releases_its_claim);
   CPPUNIT_TEST(long_responses_are_not_recorded);
-  CPPUNIT_TEST(too_long_a_body_is_refused);
+  CPPUNIT_TEST(an_oversized_body_is_refused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -66,7 +66,7 @@
     }
   }
 
-  void keys_are_told_apart() {
+  void keys_are_distinguished() {
     CallerFixture fixture;
     FaultyBackEnd back_end(fixture.context);
     fixture.use({back_end.address()});
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT_EQUAL(4, back_end.runs);
   }
 
-  void another_request_under_the_key_is_refused() {
+  void reuse_of_a_key_for_another_request_is_refused() {
     CallerFixture fixture;
     FaultyBackEnd back_end(fixture.context);
     fixture.use({back_end.address()});
@@ -109,7 +109,7 @@
     CPPUNIT_ASSERT_EQUAL(200u, fixture.call(repeatable).status);
   }
 
-  void a_claim_that_comes_too_late_is_given_back() {
+  void a_claim_granted_too_late_is_released() {
     CallerFixture fixture;
     FaultyBackEnd back_end(fixture.context);
     fixture.use({back_end.address()});
@@ -127,7 +127,7 @@
     CPPUNIT_ASSERT_EQUAL(1, back_end.runs);
   }
 
-  void a_request_that_did_not_run_gives_its_claim_back() {
+  void a_request_that_did_not_run_releases_its_claim() {
     CallerFixture fixture;
     FaultyBackEnd back_end(fixture.context);
     fixture.use({back_end.address()});
@@ -148,7 +148,7 @@
     CPPUNIT_ASSERT_EQUAL(1, back_end.runs);
   }
 
-  void too_long_a_body_is_refused() {
+  void an_oversized_body_is_refused() {
     CallerFixture fixture;
     FaultyBackEnd back_end(fixture.context);
     fixture.use({back_end.address()});
--- a/tests/contract/operator_api_examples_test.cpp
+++ b/tests/contract/operator_api_examples_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Runs the examples of docs/api/operators.md in their order and compares each
-/// answer with the one on the page.
+/// Runs the examples of docs/api/operators.md in order and compares each response with the
+/// documented one.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +20,7 @@
   std::string body;
 };
 
-/// \return the blocks marked as http, in order.
+/// \return the code blocks marked as http, in order
 std::vector<Block> read_blocks(const std::string& path) {
   std::ifstream file(path);
   std::vector<Block> blocks;
@@ -40,7 +40,7 @@
   return blocks;
 }
 
-/// Puts a fixed text in the place of each time.
+/// Replaces every time with a fixed text.
 nlohmann::json without_times(nlohmann::json value) {
   if (!value.is_structured()) {
     return value;
@@ -53,11 +53,11 @@
 
 class OperatorApiExamplesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OperatorApiExamplesTest);
-  CPPUNIT_TEST(the_page_tells_what_the_daemon_answers);
+  CPPUNIT_TEST(documented_responses_match_the_daemon);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void the_page_tells_what_the_daemon_answers() {
+  void documented_responses_match_the_daemon() {
     boost::asio::io_context context{1};
     support::FakeTableService table;
     std::vector<support::FakeMembership*> members;
@@ -84,7 +84,7 @@
   }
 
  private:
-  /// The step that the page shows as open.
+  /// Returns the open step that the documentation shows.
   static rollout::StepReport example_step() {
     rollout::StepReport step;
     step.event = core::EventName("compounds");
--- a/tests/contract/operator_commands_test.cpp
+++ b/tests/contract/operator_commands_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// stoneportctl against a daemon's operators' interface: what each command
-/// prints and its exit code.
+/// Tests the output and exit codes of stoneportctl commands against a daemon's operator
+/// API.
 #include <cppunit/extensions/HelperMacros.h>
 #include <stdlib.h>
 
@@ -19,7 +19,7 @@
 struct Invocation {
   std::vector<std::string> arguments;
   ExitCode exit_code;
-  std::string out;  ///< part of what is printed
+  std::string out;  ///< expected part of the output
   std::string err;
 };
 
@@ -29,7 +29,7 @@
   CPPUNIT_TEST(an_edited_file_carries_its_base);
   CPPUNIT_TEST(invalid_documents_name_file_and_line);
   CPPUNIT_TEST(exit_codes_of_failures);
-  CPPUNIT_TEST(a_wait_that_ends_too_early_names_who_is_missing);
+  CPPUNIT_TEST(a_wait_that_times_out_names_the_missing_members);
   CPPUNIT_TEST(views);
   CPPUNIT_TEST(usage_errors);
   CPPUNIT_TEST_SUITE_END();
@@ -137,7 +137,7 @@
     check({{"template", "publish", file}, ExitCode::kUnreachable, "", "cannot be reached"});
   }
 
-  void a_wait_that_ends_too_early_names_who_is_missing() {
+  void a_wait_that_times_out_names_the_missing_members() {
     other_ = std::make_unique<support::FakeMembership>(members_, member("node-2"));
     loop_->run();
     check({{"template", "publish", "--wait", "--wait-timeout=300ms", "examples/topups.toml"},
@@ -224,8 +224,8 @@
     return text.replace(text.find(from), from.size(), to);
   }
 
-  /// Runs one invocation and checks what it does.
-  /// \return what it printed.
+  /// Runs one invocation and checks its result.
+  /// \return its output
   std::string check(const Invocation& each) const {
     std::vector<std::string> arguments = {"--server", server_};
     arguments.insert(arguments.end(), each.arguments.begin(), each.arguments.end());
--- a/tests/contract/peer_control_plane_test.cpp
+++ b/tests/contract/peer_control_plane_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Two daemons' control planes over real sockets, with fake engines and a fake
-/// machine list: watching, spreading of digests and marks, and the operators'
+/// Tests the control planes of two daemons over real sockets, with fake engines and a fake
+/// machine list: watching of replicas, spreading of digests and marks, and the operator
 /// routes.
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -32,7 +32,7 @@
   asio::awaitable<core::Result<std::vector<ports::Machine>>> list() override { co_return machines; }
 };
 
-/// What all daemons of a test share.
+/// Objects shared by all daemons of a test.
 struct Platform {
   FakeMachineList list;
   ReportingEngines engines;
@@ -59,14 +59,14 @@
 GossipSettings quick_gossip() {
   GossipSettings settings;
   settings.probe_interval = 100ms;
-  settings.news_interval = 50ms;
+  settings.update_interval = 50ms;
   settings.catch_up_interval = 100ms;
   settings.reconnect_interval = 200ms;
-  settings.longest_tick_gap = 10s;  // the test's own thread may be held up
+  settings.max_tick_gap = 10s;  // the test's own thread may be delayed
   return settings;
 }
 
-/// One daemon's control plane.
+/// Control plane of one daemon.
 class Node {
  public:
   Node(asio::io_context& context, Platform& platform, int number, const core::TimeSource& time)
@@ -124,7 +124,7 @@
     request.head.target = std::move(target);
     request.body = std::move(body);
     http::SendOptions options;
-    options.deadline = core::SystemTimeSource().now() + peer_test::kPatience;
+    options.deadline = core::SystemTimeSource().now() + peer_test::kConditionTimeout;
     auto task = client_.fetch(address, std::move(request), options);
     auto response = support::run_task(context, std::move(task));
     CPPUNIT_ASSERT(response.has_value());
@@ -173,7 +173,7 @@
 class PeerControlPlaneTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerControlPlaneTest);
   CPPUNIT_TEST(every_daemon_sees_what_two_of_them_watch);
-  CPPUNIT_TEST(a_first_sign_of_leaving_reaches_all_and_sticks);
+  CPPUNIT_TEST(a_first_report_of_leaving_reaches_all_and_is_permanent);
   CPPUNIT_TEST(a_dead_engine_is_down_for_all);
   CPPUNIT_TEST(operators_read_members_replicas_weights_and_status);
   CPPUNIT_TEST(operators_drain_a_replica);
@@ -228,12 +228,13 @@
     });
   }
 
-  void a_first_sign_of_leaving_reaches_all_and_sticks() {
+  void a_first_report_of_leaving_reaches_all_and_is_permanent() {
     first_engine_->next_report.leaving = true;
     wait_for(context_, [&] {
       return all([](Node& node) { return node.sees("engine-1", routing::ReplicaState::kLeaving); });
     });
-    // Its report turns back; the mark does not, until a new process is there.
+    // The replica's report no longer shows it as leaving, but the mark remains until a new
+    // process starts.
     first_engine_->next_report.leaving = false;
     const std::uint32_t reports = first_engine_->reports;
     wait_for(context_, [&] { return first_engine_->reports >= reports + 6; });
--- a/tests/contract/peer_fixture.hpp
+++ b/tests/contract/peer_fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Scaffolding of the contract tests between daemons.
+/// Helpers of the contract tests between daemons.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,18 +9,19 @@
 
 namespace stoneport::peer_test {
 
-/// Never reached by a test that passes. Daemons tick for ever, so that a
-/// condition that does not come would otherwise be waited for without end.
-inline constexpr auto kPatience = std::chrono::seconds(30);
+/// Fails a test whose condition never holds. Daemons tick forever, so the wait would
+/// otherwise never end. A passing test does not reach this limit.
+inline constexpr auto kConditionTimeout = std::chrono::seconds(30);
 
-/// Lets \p context work until \p condition holds; fails past kPatience.
+/// Runs \p context until \p condition holds; fails after kConditionTimeout.
 template <class Condition>
 void wait_for(boost::asio::io_context& context, Condition condition) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kConditionTimeout;
   context.restart();
   while (!condition()) {
-    CPPUNIT_ASSERT_MESSAGE("the condition is not reached", std::chrono::steady_clock::now() < end);
-    context.run_one_for(kPatience);
+    CPPUNIT_ASSERT_MESSAGE("timed out waiting for the condition",
+                           std::chrono::steady_clock::now() < end);
+    context.run_one_for(kConditionTimeout);
   }
 }
 
--- a/tests/contract/peer_gossip_test.cpp
+++ b/tests/contract/peer_gossip_test.cpp
@@ -1,8 +1,7 @@
 /// \file
-/// Daemons' gossip over real UDP sockets on loopback: joining by seeds, drain
-/// marks, policy versions, digests, farewell, and packets that nobody should
-/// have sent. Everything runs on the test's own thread; tests wait for
-/// conditions.
+/// Tests the gossip of several daemons over real UDP sockets on loopback: joining by seeds,
+/// drain marks, policy versions, digests, leaving, and invalid packets. Everything runs on
+/// the test's own thread, and the tests wait for conditions.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -19,7 +18,7 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-/// One daemon's gossip on a socket of its own.
+/// Gossip of one daemon on its own socket.
 struct Peer {
   Peer(asio::io_context& context, int number, const core::TimeSource& time)
       : endpoint(context.get_executor(), metrics) {
@@ -32,11 +31,11 @@
     self.peer_address = {"127.0.0.1", 1};
     GossipSettings settings;
     settings.probe_interval = 100ms;
-    settings.news_interval = 50ms;
+    settings.update_interval = 50ms;
     settings.catch_up_interval = 100ms;
     settings.reconnect_interval = 200ms;
-    settings.shortest_suspicion = 500ms;
-    settings.longest_tick_gap = 10s;  // the test's own thread may be held up
+    settings.min_suspicion_timeout = 500ms;
+    settings.max_tick_gap = 10s;  // the test's own thread may be delayed
     gossip = std::make_unique<GossipController>(context.get_executor(), endpoint, self, settings,
                                                 number + 1, time, metrics);
     gossip->start();
@@ -58,9 +57,9 @@
 class PeerGossipTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerGossipTest);
   CPPUNIT_TEST(peers_join_and_spread_marks_and_versions);
-  CPPUNIT_TEST(a_farewell_is_believed_at_once);
-  CPPUNIT_TEST(a_silent_peer_is_dead_and_a_woken_one_refutes);
-  CPPUNIT_TEST(messages_of_watchers_are_handed_on);
+  CPPUNIT_TEST(a_leave_message_is_accepted_at_once);
+  CPPUNIT_TEST(a_silent_peer_is_dead_and_refutes_on_resumption);
+  CPPUNIT_TEST(watcher_messages_are_delivered);
   CPPUNIT_TEST(malformed_packets_are_counted_and_dropped);
   CPPUNIT_TEST_SUITE_END();
 
@@ -94,7 +93,7 @@
     CPPUNIT_ASSERT(peers_[1]->gossip->self().leaving);
   }
 
-  void a_farewell_is_believed_at_once() {
+  void a_leave_message_is_accepted_at_once() {
     peers_[2]->gossip->announce_leaving();
     peers_[2]->gossip->stop();
     peer_test::wait_for(context_, [&] {
@@ -103,8 +102,8 @@
     });
   }
 
-  void a_silent_peer_is_dead_and_a_woken_one_refutes() {
-    // Without a receiver the peer neither hears nor answers, as if frozen.
+  void a_silent_peer_is_dead_and_refutes_on_resumption() {
+    // Without a receiver the peer neither receives nor answers, as if frozen.
     Peer& silent = *peers_[2];
     silent.endpoint.set_receiver(nullptr);
     const core::Incarnation before = silent.gossip->self().incarnation;
@@ -119,7 +118,7 @@
     });
   }
 
-  void messages_of_watchers_are_handed_on() {
+  void watcher_messages_are_delivered() {
     std::optional<ReceivedMessage> received;
     peers_[1]->gossip->on_message([&](const ReceivedMessage& message) { received = message; });
     const wire::DigestSubscription sent{{core::ReplicaId("engine-1")}};
--- a/tests/support/configuration_daemon.hpp
+++ b/tests/support/configuration_daemon.hpp
@@ -18,9 +18,9 @@
 
 inline controllers::ConfigurationOptions quick_options() {
   controllers::ConfigurationOptions options;
-  options.peer_interval = std::chrono::milliseconds(20);
-  options.shortest_store_poll = std::chrono::milliseconds(20);
-  options.starting_store_poll = std::chrono::milliseconds(20);
+  options.peer_poll_interval = std::chrono::milliseconds(20);
+  options.min_store_poll_interval = std::chrono::milliseconds(20);
+  options.initial_store_poll_interval = std::chrono::milliseconds(20);
   options.fleet_store_polls_per_second = 1000;
   return options;
 }
--- a/tests/system/configuration_system_test.cpp
+++ b/tests/system/configuration_system_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// "A configuration that stoneport accepts is in force everywhere within seconds
-/// and never reverts", under failure, with real processes.
+/// Tests with real processes under failures that an accepted configuration is in force on
+/// all daemons within seconds and never reverts.
 #include <cppunit/extensions/HelperMacros.h>
 #include <signal.h>
 
@@ -30,7 +30,7 @@
                                   std::to_string(attempts) + "\n");
   }
 
-  /// \return how many daemons went below a revision that they had in force.
+  /// \return the number of daemons that went below a revision they had in force
   static std::uint64_t count_reverts(TestCluster& cluster, std::vector<std::uint64_t>& highest) {
     std::uint64_t reverts = 0;
     for (std::size_t daemon = 0; daemon < highest.size(); ++daemon) {
@@ -45,7 +45,7 @@
     TestCluster cluster;
     cluster.publish_examples();
     const std::uint64_t before = cluster.revision_of(0);
-    // Both edit the revision in force, through different daemons, at once.
+    // Concurrent edits of the revision in force, through different daemons.
     std::vector<HttpCall> calls;
     for (const std::size_t daemon : {0, 1, 2}) {
       HttpCall call{cluster.admin(daemon), {}};
@@ -100,7 +100,7 @@
         kExitDone, cluster.control(0, {"template", "publish", materials(cluster, "a.toml", 5)}));
     cluster.set_fault("table_service", {{"disconnect", true}});
     cluster.wait_until_in_force(before + 1, {0, 1, 2});
-    // A daemon that starts during the outage learns it from its peers.
+    // A daemon that starts during the outage gets the configuration from its peers.
     cluster.start_daemon(3);
     cluster.wait_until_ready(3);
     cluster.wait_until_in_force(before + 1, {3});
@@ -119,7 +119,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, reverts);
   }
 
-  /// Publishes once the breaker towards the store has closed again.
+  /// Publishes once the circuit breaker for the store has closed again.
   static int publish_until_taken(TestCluster& cluster, const std::string& name, int attempts) {
     int status = kExitRefused;
     wait_until("the store takes a publication", [&] {
--- a/tests/system/weights_system_test.cpp
+++ b/tests/system/weights_system_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Weights under failure, with real processes: the daemon that orders a swap
-/// ends in the midst of it, and the versions still come to every engine.
+/// Tests weight rollouts with real processes: the daemon that orders a swap terminates
+/// during the swap, and all engines must still get the new version.
 #include <cppunit/extensions/HelperMacros.h>
 #include <signal.h>
 
@@ -20,7 +20,7 @@
 const char* const kFailingEngine = "proposal-sululta-hall-1";
 constexpr int kSwapFailures = 3;
 
-/// Real time is model time, so that a swap takes 2 s and can be met midway.
+/// Model time runs at real time, so that a swap takes 2 s and can be interrupted.
 ClusterOptions slow_swaps() {
   ClusterOptions options;
   options.time_scale = 1;
@@ -33,7 +33,7 @@
   CPPUNIT_TEST(owner_is_killed_during_a_swap);
   CPPUNIT_TEST_SUITE_END();
 
-  /// \return the daemon that holds the weights lease; none when nobody does.
+  /// \return the daemon that holds the weights lease, or none
   static std::optional<std::size_t> owner(TestCluster& cluster) {
     const core::Address store{cluster.control_address().ip, kTableServicePort};
     const HttpAnswer answer =
@@ -59,8 +59,8 @@
     return result;
   }
 
-  /// Publishes a version and returns its owner with the swap under way: some
-  /// engines have the new weights, some have not, and one refuses at first.
+  /// Publishes a version and returns the owner while the swap is in progress: some engines
+  /// have the new weights, some do not, and one refuses at first.
   static std::size_t owner_in_mid_swap(TestCluster& cluster) {
     cluster.publish_examples();
     std::optional<std::size_t> holder;
@@ -69,7 +69,7 @@
       return holder.has_value();
     });
     cluster.set_fault(kFailingEngine, {{"swap_failures", kSwapFailures}});
-    // The trainer polls a daemon that goes on.
+    // The trainer polls a daemon that keeps running.
     cluster.run_trainer((*holder + 1) % 3, {{"publish_between_steps", false}});
     cluster.wait_for_samples(1);
     cluster.emulator_send("POST", "/control/trainers/trainer/publish");
--- a/tests/unit/controllers/claim_registry_test.cpp
+++ b/tests/unit/controllers/claim_registry_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The claim registry by cases: what a first request and its repeats are told.
+/// Tests of the claim registry: responses to a first request and to repeated requests.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "controllers/table_claim_registry.hpp"
@@ -14,9 +14,9 @@
 using filters::ClaimGranted;
 using filters::ClaimTaken;
 
-/// Two daemons before one store.
-struct World {
-  World()
+/// Two daemons that share one store.
+struct SharedStore {
+  SharedStore()
       : first(context.get_executor(), table, objects, clock, core::NodeId("a"),
               core::Incarnation(1), metrics),
         second(context.get_executor(), table, objects, clock, core::NodeId("b"),
@@ -65,14 +65,14 @@
 class ClaimRegistryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ClaimRegistryTest);
   CPPUNIT_TEST(store_faults);
-  CPPUNIT_TEST(bodies_come_back_whole);
-  CPPUNIT_TEST(another_request_under_the_key);
-  CPPUNIT_TEST(body_out_of_reach_is_unknown);
+  CPPUNIT_TEST(recorded_bodies_are_returned_unchanged);
+  CPPUNIT_TEST(reuse_of_a_key_for_another_request);
+  CPPUNIT_TEST(unreadable_body_gives_unknown_outcome);
   CPPUNIT_TEST(released_key_is_free);
   CPPUNIT_TEST(abandoned_claim_is_released_later);
-  CPPUNIT_TEST(repeat_in_an_outage_is_not_called_not_run);
-  CPPUNIT_TEST(keys_are_bounded);
-  CPPUNIT_TEST(callers_on_another_thread);
+  CPPUNIT_TEST(repeat_during_an_outage_is_not_reported_as_not_run);
+  CPPUNIT_TEST(key_length_is_limited);
+  CPPUNIT_TEST(concurrent_callers_on_another_thread);
   CPPUNIT_TEST_SUITE_END();
 
   void store_faults() {
@@ -96,7 +96,7 @@
         {"answer lost and the read fails", lost_and_unreadable, false, 1},
     };
     for (const Case& test : cases) {
-      World world;
+      SharedStore world;
       world.table.faults = test.faults;
       const auto answer = world.claim(world.first);
       const bool granted = answer && std::holds_alternative<ClaimGranted>(*answer);
@@ -106,18 +106,18 @@
     }
   }
 
-  void bodies_come_back_whole() {
+  void recorded_bodies_are_returned_unchanged() {
     struct Case {
       std::string body;
       std::size_t objects;
     };
     const Case cases[] = {{"", 0},
                           {"done", 0},
-                          {std::string(kMostInlineBytes, 'x'), 0},
-                          {std::string(kMostInlineBytes + 1, 'x'), 1},
+                          {std::string(kMaxInlineBytes, 'x'), 0},
+                          {std::string(kMaxInlineBytes + 1, 'x'), 1},
                           {std::string("\xff\x00\xfe", 3), 1}};
     for (const Case& test : cases) {
-      World world;
+      SharedStore world;
       const core::WriteId claim = world.granted(world.first);
       CPPUNIT_ASSERT(world.record(world.first, claim, test.body));
       CPPUNIT_ASSERT_EQUAL(test.objects, world.objects.objects.size());
@@ -130,8 +130,8 @@
     }
   }
 
-  void another_request_under_the_key() {
-    World world;
+  void reuse_of_a_key_for_another_request() {
+    SharedStore world;
     CPPUNIT_ASSERT(world.record(world.first, world.granted(world.first), "done"));
     for (TableClaimRegistry* registry : {&world.first, &world.second}) {
       const ClaimTaken taken = world.taken(*registry, 8);
@@ -139,16 +139,16 @@
     }
   }
 
-  void body_out_of_reach_is_unknown() {
-    World world;
+  void unreadable_body_gives_unknown_outcome() {
+    SharedStore world;
     const core::WriteId claim = world.granted(world.first);
-    CPPUNIT_ASSERT(world.record(world.first, claim, std::string(kMostInlineBytes + 1, 'x')));
+    CPPUNIT_ASSERT(world.record(world.first, claim, std::string(kMaxInlineBytes + 1, 'x')));
     world.objects.unavailable = true;
     CPPUNIT_ASSERT(!world.taken(world.second).outcome);
   }
 
   void released_key_is_free() {
-    World world;
+    SharedStore world;
     const core::WriteId claim = world.granted(world.first);
     CPPUNIT_ASSERT(!world.taken(world.second).outcome);
     CPPUNIT_ASSERT(world.release(world.first, claim));
@@ -158,28 +158,28 @@
   }
 
   void abandoned_claim_is_released_later() {
-    World world;
+    SharedStore world;
     world.table.faults.answers_lost_after_write = 1;
     world.table.faults.failed_reads = 1;
     CPPUNIT_ASSERT(!world.claim(world.first));
     CPPUNIT_ASSERT(!world.taken(world.second).outcome);
-    support::run_task(world.context, World::release_abandoned(world.first));
+    support::run_task(world.context, SharedStore::release_abandoned(world.first));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.rows());
     world.granted(world.second);
   }
 
-  /// Its first sending may have run, so that "not run" would mislead.
-  void repeat_in_an_outage_is_not_called_not_run() {
-    World world;
+  /// The first attempt may have been executed, so the answer must not say that it was not.
+  void repeat_during_an_outage_is_not_reported_as_not_run() {
+    SharedStore world;
     world.granted(world.first);
     world.table.faults.unavailable = true;
     CPPUNIT_ASSERT(!world.taken(world.first).outcome);
   }
 
-  void keys_are_bounded() {
-    World world;
+  void key_length_is_limited() {
+    SharedStore world;
     for (const std::size_t size : {std::size_t{0}, std::size_t{513}}) {
-      filters::ClaimKey key = World::key(1);
+      filters::ClaimKey key = SharedStore::key(1);
       key.idempotency_key = std::string(size, 'k');
       const auto answer = support::run_task(world.context, world.first.claim(std::move(key)));
       CPPUNIT_ASSERT(!answer && answer.error().code == ErrorCode::kInvalidArgument);
@@ -187,9 +187,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, world.table.commits);
   }
 
-  /// One of many repeats at once is granted; the store calls stay on the control
-  /// thread.
-  void callers_on_another_thread() {
+  /// Of many concurrent requests with one key, exactly one is granted; the store calls stay
+  /// on the control thread.
+  void concurrent_callers_on_another_thread() {
     support::FakeTableService table;
     support::FakeObjectStore objects;
     core::SystemTimeSource clock;
@@ -203,7 +203,7 @@
     int ended = 0;
     boost::asio::io_context traffic;
     for (int repeat = 0; repeat < kRepeats; ++repeat) {
-      boost::asio::co_spawn(traffic, registry.claim(World::key(7)),
+      boost::asio::co_spawn(traffic, registry.claim(SharedStore::key(7)),
                             [&](std::exception_ptr, core::Result<filters::ClaimAnswer> answer) {
                               ++ended;
                               granted +=
--- a/tests/unit/controllers/claim_walk_test.cpp
+++ b/tests/unit/controllers/claim_walk_test.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// Seeded random walks of claims: two daemons that crash and are replaced, callers
-/// that repeat with their key, a store with outages, lost, late and doubled
-/// writes. The model: a key is sent under at most once.
-/// STONEPORT_CLAIM_SEED=N replays one schedule, STONEPORT_CLAIM_SCHEDULES=N sets
-/// how many are run.
+/// Randomized test of claims, reproducible from its seed: two daemons that crash and are
+/// replaced, callers that repeat requests with their key, and a store with outages and
+/// lost, late and duplicated writes. Invariant: a request is sent at most once per key.
+/// STONEPORT_CLAIM_SEED=N replays one schedule, STONEPORT_CLAIM_SCHEDULES=N sets the number
+/// of schedules.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -36,7 +36,7 @@
   std::uint64_t double_sends = 0;
   std::uint64_t wrong_outcomes = 0;
   std::uint64_t keys_never_sent = 0;
-  std::uint64_t keys_blocked = 0;  ///< never sent, and still taken after the faults ended
+  std::uint64_t keys_blocked = 0;  ///< never sent, and still claimed after the faults ended
 };
 
 filters::ClaimKey key_number(std::size_t number) {
@@ -44,7 +44,8 @@
           7};
 }
 
-/// One life of one daemon. Its event loop goes first, with all that waits on it.
+/// One process of one daemon. Destroying it destroys its event loop first, with all
+/// coroutines suspended on it.
 struct Daemon {
   Daemon(support::ScheduledStore& store, int life, core::TimeSource& time, const double& fault_rate)
       : life(life),
@@ -172,7 +173,7 @@
                           boost::asio::detached);
   }
 
-  /// A point at which the daemon may crash.
+  /// Point at which the daemon may crash.
   boost::asio::awaitable<void> pause(int life) {
     std::function<void()> nothing = [] {};
     co_await store_.wait(life, std::nullopt, std::move(nothing));
@@ -270,7 +271,7 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::uint64_t{0}, tally.wrong_outcomes);
     }
     print("claims", count, tally);
-    // Faults and repeats must have been met, or the walk proves nothing.
+    // A full run must have exercised faults and repeated requests to be conclusive.
     const bool whole_run = count >= kSchedules;
     CPPUNIT_ASSERT(!whole_run || tally.sent > count / 2);
     CPPUNIT_ASSERT(!whole_run || tally.taken_with_outcome > count / 10);
--- a/tests/unit/controllers/configuration_controller_test.cpp
+++ b/tests/unit/controllers/configuration_controller_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Publishing and spreading configurations under faults of the store, of gossip
+/// Tests that configurations are published and spread under faults of the store, of gossip
 /// and of peers.
 #include "configuration_fixture.hpp"
 
@@ -13,15 +13,15 @@
   CPPUNIT_TEST(other_zones_hold_a_copy_before_the_answer);
   CPPUNIT_TEST(a_racing_publication_of_another_document_is_planned_again);
   CPPUNIT_TEST(a_racing_publication_of_the_same_document_is_a_conflict);
-  CPPUNIT_TEST(a_lost_answer_is_unknown_and_a_repeat_settles_it);
+  CPPUNIT_TEST(a_lost_response_is_unknown_and_a_retry_resolves_it);
   CPPUNIT_TEST(a_store_that_is_down_refuses_and_nothing_changes);
   CPPUNIT_TEST(a_daemon_frozen_over_two_revisions_catches_up);
-  CPPUNIT_TEST(a_store_that_went_back_is_not_followed);
-  CPPUNIT_TEST(a_daemon_with_content_that_the_store_lost_takes_the_whole);
+  CPPUNIT_TEST(a_store_restored_to_an_older_revision_is_not_followed);
+  CPPUNIT_TEST(a_daemon_with_content_that_the_store_lost_reads_the_full_configuration);
   CPPUNIT_TEST(a_new_daemon_is_ready_by_peers_in_two_zones);
-  CPPUNIT_TEST(peers_of_one_zone_or_unready_ones_do_not_vouch);
+  CPPUNIT_TEST(peers_in_one_zone_or_not_ready_are_not_sufficient);
   CPPUNIT_TEST(offers_that_do_not_verify_are_refused);
-  CPPUNIT_TEST(snapshots_follow);
+  CPPUNIT_TEST(snapshots_are_published_on_change);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, accepted(first, event_template("t", 3), 2));
   }
 
-  void a_lost_answer_is_unknown_and_a_repeat_settles_it() {
+  void a_lost_response_is_unknown_and_a_retry_resolves_it() {
     ConfigurationDaemon& daemon = add_daemon("a", peers_only_options());
     CPPUNIT_ASSERT(run_until_ready(daemon));
     table_.faults.answers_lost_after_write = 1;
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT(everywhere(3));
   }
 
-  void a_store_that_went_back_is_not_followed() {
+  void a_store_restored_to_an_older_revision_is_not_followed() {
     ConfigurationDaemon& daemon = add_daemon("a");
     accepted(daemon, event_template("t", 1), 0);
     const support::MemoryTables backup = table_.tables;
@@ -140,8 +140,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, daemon.revision());
   }
 
-  /// The store went back to revision 1 and others published from there.
-  void a_daemon_with_content_that_the_store_lost_takes_the_whole() {
+  /// The store was restored to revision 1 and other daemons published from there.
+  void a_daemon_with_content_that_the_store_lost_reads_the_full_configuration() {
     for (const bool by_store : {true, false}) {
       const auto options = by_store ? quick_options() : peers_only_options();
       ConfigurationDaemon& daemon = add_daemon("a", options);
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, late.revision());
   }
 
-  void peers_of_one_zone_or_unready_ones_do_not_vouch() {
+  void peers_in_one_zone_or_not_ready_are_not_sufficient() {
     CPPUNIT_ASSERT(run_until_ready(add_daemon("a")));
     CPPUNIT_ASSERT(run_until_ready(add_daemon("a")));
     accepted(*daemons_[0], event_template("t"), 0);
@@ -217,18 +217,18 @@
         {fork, AdoptionVerdict::kFork},
         {other.controller.offer_since({}), AdoptionVerdict::kSame}};
     for (const auto& [offer, verdict] : cases) {
-      CPPUNIT_ASSERT(other.controller.take(offer) == verdict);
+      CPPUNIT_ASSERT(other.controller.accept_offer(offer) == verdict);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, other.revision());
     }
     const PeerConfiguration older = other.controller.offer_since({});
-    CPPUNIT_ASSERT(daemon.controller.take(older) == AdoptionVerdict::kOlder);
+    CPPUNIT_ASSERT(daemon.controller.accept_offer(older) == AdoptionVerdict::kOlder);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, daemon.revision());
     const PeerConfiguration newer = daemon.controller.offer_since({});
-    CPPUNIT_ASSERT(other.controller.take(newer) == AdoptionVerdict::kAdopted);
+    CPPUNIT_ASSERT(other.controller.accept_offer(newer) == AdoptionVerdict::kAdopted);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, other.revision());
   }
 
-  void snapshots_follow() {
+  void snapshots_are_published_on_change() {
     ConfigurationDaemon& daemon = add_daemon("a");
     const auto view = daemon.controller.snapshots().subscribe(context_.get_executor());
     int changes = 0;
@@ -240,8 +240,8 @@
   }
 
  private:
-  /// Publishes \p document, a new one, on the store's newest whole, as a daemon
-  /// would that shares nothing else with ours.
+  /// Publishes the new document \p document on top of the store's newest configuration,
+  /// like a daemon that is connected to ours only through the store.
   void commit_elsewhere(const config::Document& document) {
     boost::asio::io_context other;
     ConfigurationStore store(table_, "other-" + key_of(document).name);
--- a/tests/unit/controllers/configuration_fixture.hpp
+++ b/tests/unit/controllers/configuration_fixture.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Daemons that share a table service and call one another over loopback, for
-/// the tests of configuration.
+/// Fixture for configuration tests: daemons that share a table service and call one another
+/// over loopback.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -27,17 +27,17 @@
                        "\"\nmax_tokens = " + std::to_string(max_tokens) + "\n");
 }
 
-/// Options under which a daemon never reads the store of itself after the start.
+/// Options of a daemon that does not poll the store after startup.
 inline ConfigurationOptions peers_only_options() {
   ConfigurationOptions options = quick_options();
-  options.shortest_store_poll = std::chrono::hours(1);
-  options.starting_store_poll = std::chrono::hours(1);
+  options.min_store_poll_interval = std::chrono::hours(1);
+  options.initial_store_poll_interval = std::chrono::hours(1);
   return options;
 }
 
 class ConfigurationFixture : public CppUnit::TestFixture {
  public:
-  /// Ends what still runs before the daemons go.
+  /// Stops pending operations before the daemons are destroyed.
   void tearDown() override {
     for (const auto& daemon : daemons_) {
       daemon->controller.stop();
@@ -67,7 +67,8 @@
     return support::run_task(context_, daemon.controller.publish(std::move(request)));
   }
 
-  /// \return the revision of a publication that must be accepted.
+  /// Publishes a document, which must be accepted.
+  /// \return the revision of the publication
   std::uint64_t accepted(ConfigurationDaemon& daemon, config::Document document,
                          std::uint64_t base_revision) {
     const auto outcome = publish(daemon, std::move(document), base_revision);
--- a/tests/unit/controllers/digest_exchange_test.cpp
+++ b/tests/unit/controllers/digest_exchange_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The exchange of replica reports: budgets, renewal, fall back to the second
-/// watcher, and which report is believed. Virtual time.
+/// Tests of the distribution of replica reports in virtual time: budgets, renewal, fallback
+/// to the second watcher, and selection of the report to use.
 #include "controllers/digest_exchange.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -44,20 +44,20 @@
 
 class DigestExchangeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DigestExchangeTest);
-  CPPUNIT_TEST(a_push_goes_out_on_change_and_as_a_sign_of_life);
-  CPPUNIT_TEST(prefixes_go_out_when_changed_and_not_too_often);
+  CPPUNIT_TEST(a_push_is_sent_on_change_and_as_a_heartbeat);
+  CPPUNIT_TEST(prefixes_are_sent_on_change_at_a_limited_rate);
   CPPUNIT_TEST(a_subscription_ends_without_renewal);
-  CPPUNIT_TEST(the_budget_is_kept_and_nobody_is_starved);
-  CPPUNIT_TEST(the_second_watcher_is_asked_while_the_first_is_silent);
-  CPPUNIT_TEST(the_best_report_is_the_newest_that_vouches);
-  CPPUNIT_TEST(left_out_prefixes_stay_until_a_new_process);
+  CPPUNIT_TEST(the_budget_is_kept_and_no_subscriber_starves);
+  CPPUNIT_TEST(the_second_watcher_is_used_while_the_first_is_silent);
+  CPPUNIT_TEST(the_best_report_is_the_newest_with_a_reachable_replica);
+  CPPUNIT_TEST(omitted_prefixes_remain_until_a_new_process);
   CPPUNIT_TEST(a_cluster_keeps_its_budget_and_misses_no_report);
-  CPPUNIT_TEST(the_machine_list_gives_seeds_and_turns);
+  CPPUNIT_TEST(the_machine_list_yields_seeds_and_newly_leaving_nodes);
   CPPUNIT_TEST(a_prefix_sample_follows_events_and_forgets_on_gaps);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_push_goes_out_on_change_and_as_a_sign_of_life() {
+  void a_push_is_sent_on_change_and_as_a_heartbeat() {
     DigestPublisher publisher(100'000, kPacketBytes);
     publisher.subscribe(kSubscriber, kAddress, {kReplica}, now_);
     std::map<core::ReplicaId, TimedReport> watched = {{kReplica, make_report(1, now_ - 500ms)}};
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, publisher.due(watched, now_ + 1s + kReportRefresh).size());
   }
 
-  void prefixes_go_out_when_changed_and_not_too_often() {
+  void prefixes_are_sent_on_change_at_a_limited_rate() {
     DigestPublisher publisher(100'000, kPacketBytes);
     publisher.subscribe(kSubscriber, kAddress, {kReplica}, now_);
     struct Case {
@@ -95,13 +95,13 @@
   void a_subscription_ends_without_renewal() {
     DigestPublisher publisher(100'000, kPacketBytes);
     publisher.subscribe(kSubscriber, kAddress, {kReplica}, now_);
-    publisher.due({}, now_ + kSubscriptionLength - 1s);
+    publisher.due({}, now_ + kSubscriptionLifetime - 1s);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, publisher.subscriber_count());
-    publisher.due({}, now_ + kSubscriptionLength);
+    publisher.due({}, now_ + kSubscriptionLifetime);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, publisher.subscriber_count());
   }
 
-  void the_budget_is_kept_and_nobody_is_starved() {
+  void the_budget_is_kept_and_no_subscriber_starves() {
     constexpr double kBytesPerSecond = 2'000;
     constexpr int kSubscribers = 30;
     constexpr int kSeconds = 10;
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{kSubscribers}, pushes_by_address.size());
   }
 
-  void the_second_watcher_is_asked_while_the_first_is_silent() {
+  void the_second_watcher_is_used_while_the_first_is_silent() {
     const std::vector<wire::Member> members = make_members(5);
     const std::vector<wire::Member> watchers = watchers_of(kReplica, members);
     DigestSubscriber subscriber(kSubscriber);
@@ -139,21 +139,21 @@
     };
     const core::Address first = watchers[0].gossip_address;
     const core::Address second = watchers[1].gossip_address;
-    // Nothing was heard yet: both.
+    // No report has arrived yet: both watchers are asked.
     CPPUNIT_ASSERT(asked(now_) == (std::set<core::Address>{first, second}));
     CPPUNIT_ASSERT(asked(now_ + 1s).empty());
     reports.add(watchers[0].node, make_report(1, now_).report, now_ + 4s);
     CPPUNIT_ASSERT(asked(now_ + 5s) == std::set<core::Address>{first});
-    // The first falls silent.
+    // The first watcher stops reporting.
     CPPUNIT_ASSERT(asked(now_ + 12s) == (std::set<core::Address>{first, second}));
-    // The first says that the replica is gone.
+    // The first watcher reports that the replica is unreachable.
     wire::ReplicaReport gone = make_report(1, now_).report;
     gone.reachable = false;
     reports.add(watchers[0].node, gone, now_ + 20s);
     CPPUNIT_ASSERT(asked(now_ + 20s) == (std::set<core::Address>{first, second}));
   }
 
-  void the_best_report_is_the_newest_that_vouches() {
+  void the_best_report_is_the_newest_with_a_reachable_replica() {
     ReplicaReports reports;
     wire::ReplicaReport gone = make_report(0, now_).report;
     gone.reachable = false;
@@ -161,7 +161,7 @@
     CPPUNIT_ASSERT(!reports.best(kReplica, now_)->report.reachable);
     reports.add(core::NodeId("w2"), make_report(3, now_).report, now_ - 2s);
     CPPUNIT_ASSERT(reports.best(kReplica, now_)->report.reachable);
-    // Once the one that vouches is old, the newer word counts.
+    // Once the report with a reachable replica is too old, the newer one is used.
     CPPUNIT_ASSERT(!reports.best(kReplica, now_ + kReportFreshness)->report.reachable);
     CPPUNIT_ASSERT(!reports.add(core::NodeId("w2"), make_report(9, now_).report, now_ - 3s));
     CPPUNIT_ASSERT(reports.best(core::ReplicaId("engine-2"), now_) == nullptr);
@@ -169,7 +169,7 @@
     CPPUNIT_ASSERT(reports.best(kReplica, now_) == nullptr);
   }
 
-  void left_out_prefixes_stay_until_a_new_process() {
+  void omitted_prefixes_remain_until_a_new_process() {
     ReplicaReports reports;
     const core::NodeId watcher("w1");
     reports.add(watcher, make_report(1, now_, std::vector<std::uint64_t>{5}).report, now_);
@@ -188,11 +188,11 @@
     settings.length = 20s;
     const DigestMeasurement measured = measure_digests(settings);
     CPPUNIT_ASSERT_EQUAL(0.0, measured.missing_ratio);
-    CPPUNIT_ASSERT(measured.sent_bytes_most < 1.5 * settings.bytes_per_second);
+    CPPUNIT_ASSERT(measured.max_sent_bytes < 1.5 * settings.bytes_per_second);
     CPPUNIT_ASSERT(measured.age_p99 < core::to_seconds(kReportFreshness));
   }
 
-  void the_machine_list_gives_seeds_and_turns() {
+  void the_machine_list_yields_seeds_and_newly_leaving_nodes() {
     using ports::MachineState;
     const auto node = [](const std::string& id, std::uint16_t port, MachineState state) {
       ports::Machine machine;
--- a/tests/unit/controllers/event_warm_up_controller_test.cpp
+++ b/tests/unit/controllers/event_warm_up_controller_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The warm-up of a scheduled event in virtual time. Rounds are run by hand.
+/// Tests the warm-up of a scheduled event in virtual time; the tests run the rounds
+/// themselves.
 #include "controllers/event_warm_up_controller.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -22,7 +23,7 @@
   CPPUNIT_TEST_SUITE(EventWarmUpControllerTest);
   CPPUNIT_TEST(event_becomes_warm_and_starts);
   CPPUNIT_TEST(cold_start_is_counted);
-  CPPUNIT_TEST(unreached_engine_is_tried_again);
+  CPPUNIT_TEST(failed_connection_is_retried);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -75,7 +76,7 @@
     CPPUNIT_ASSERT_EQUAL(0.0, phases("warm"));
   }
 
-  void unreached_engine_is_tried_again() {
+  void failed_connection_is_retried() {
     answers_ = false;
     connect(10ms);
     CPPUNIT_ASSERT_EQUAL(std::string("warming"), phase_at(10ms));
@@ -111,7 +112,7 @@
     return std::string(rollout::to_string(controller_->find(kEvent)->state));
   }
 
-  /// Runs a round and waits for the calls to both engines that it began.
+  /// Runs a round and waits for the calls to both engines that it started.
   void connect(std::chrono::milliseconds before_start) {
     phase_at(before_start);
     const std::size_t expected = reached_.size() + 2;
--- a/tests/unit/controllers/gossip_state_test.cpp
+++ b/tests/unit/controllers/gossip_state_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Named cases of membership on the virtual network: pauses, cuts, replaced
-/// machines, marks, budgets.
+/// Tests of membership on the virtual network: pauses, partitions, replaced machines, drain
+/// marks and budgets.
 #include "controllers/gossip_state.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -23,7 +23,8 @@
     until([&] { return simulation.converged(); }, 60s);
   }
   void until(const std::function<bool()>& condition, core::Duration limit) {
-    CPPUNIT_ASSERT_MESSAGE("not reached in time", simulation.run_until(condition, limit));
+    CPPUNIT_ASSERT_MESSAGE("the condition did not hold within the limit",
+                           simulation.run_until(condition, limit));
   }
   void run(core::Duration length) {
     const core::MonotonicTime end = simulation.now() + length;
@@ -47,23 +48,23 @@
 class GossipStateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GossipStateTest);
   CPPUNIT_TEST(a_crashed_member_is_dead_for_all);
-  CPPUNIT_TEST(loss_alone_kills_nobody);
-  CPPUNIT_TEST(a_frozen_process_refutes_when_it_wakes);
-  CPPUNIT_TEST(a_frozen_process_accuses_nobody_when_it_wakes);
-  CPPUNIT_TEST(a_process_marked_while_frozen_wakes_leaving);
-  CPPUNIT_TEST(news_told_during_a_pause_is_caught_up_with_at_once);
-  CPPUNIT_TEST(a_woken_process_is_not_current_before_it_has_the_marks);
-  CPPUNIT_TEST(a_woken_process_alone_goes_on_asking);
-  CPPUNIT_TEST(notices_of_zones_reach_all_within_a_second_or_two);
-  CPPUNIT_TEST(a_notice_of_a_zone_outlasts_a_cut_and_the_latest_holds);
-  CPPUNIT_TEST(a_mark_outlasts_death_and_not_a_new_process);
-  CPPUNIT_TEST(a_cut_heals_without_false_deaths_on_either_side);
-  CPPUNIT_TEST(a_farewell_needs_no_timeout);
+  CPPUNIT_TEST(packet_loss_alone_causes_no_deaths);
+  CPPUNIT_TEST(a_resumed_process_refutes_its_death);
+  CPPUNIT_TEST(a_resumed_process_suspects_no_live_member);
+  CPPUNIT_TEST(a_process_marked_while_frozen_resumes_as_leaving);
+  CPPUNIT_TEST(updates_missed_during_a_pause_are_fetched_at_once);
+  CPPUNIT_TEST(a_resumed_process_is_not_current_before_it_has_the_marks);
+  CPPUNIT_TEST(a_resumed_process_without_peers_keeps_asking);
+  CPPUNIT_TEST(zone_notices_reach_all_members_within_two_seconds);
+  CPPUNIT_TEST(a_resumed_member_gets_the_latest_zone_notice);
+  CPPUNIT_TEST(a_mark_survives_death_but_not_a_new_process);
+  CPPUNIT_TEST(a_partition_heals_without_false_deaths_on_either_side);
+  CPPUNIT_TEST(a_leave_message_is_effective_without_a_timeout);
   CPPUNIT_TEST(a_replaced_machine_does_not_answer_for_its_predecessor);
-  CPPUNIT_TEST(an_idle_cluster_is_cheap_and_news_keeps_the_budget);
-  CPPUNIT_TEST(the_same_seeds_told_again_send_nothing_more);
-  CPPUNIT_TEST(dead_members_are_forgotten_in_the_end);
-  CPPUNIT_TEST(ranked_members_are_live_staying_and_the_same_everywhere);
+  CPPUNIT_TEST(traffic_stays_within_budget_when_idle_and_under_updates);
+  CPPUNIT_TEST(setting_the_same_seeds_again_sends_nothing_more);
+  CPPUNIT_TEST(dead_members_are_eventually_forgotten);
+  CPPUNIT_TEST(ranked_members_are_live_not_leaving_and_the_same_everywhere);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -74,7 +75,7 @@
     CPPUNIT_ASSERT(cluster.sees(0, 4).state == MemberState::kDead);
   }
 
-  void loss_alone_kills_nobody() {
+  void packet_loss_alone_causes_no_deaths() {
     Cluster cluster(10, 0.1);
     for (int second = 0; second < 120; ++second) {
       cluster.run(1s);
@@ -88,7 +89,7 @@
     return {core::ZoneName("east"), core::Revision(revision), evacuated};
   }
 
-  /// \return whether all of the first \p members hold \p expected.
+  /// \return whether the first \p members members all hold \p expected
   static bool all_hold(Cluster& cluster, std::size_t members, const wire::ZoneNotice& expected) {
     for (std::size_t node = 0; node < members; ++node) {
       const auto& notices = cluster.simulation.state(node).records().zone_notices();
@@ -100,7 +101,7 @@
     return true;
   }
 
-  void notices_of_zones_reach_all_within_a_second_or_two() {
+  void zone_notices_reach_all_members_within_two_seconds() {
     Cluster cluster(50, 0.05);
     for (const std::uint64_t revision : {7, 8}) {
       const wire::ZoneNotice told = notice(revision, revision == 7);
@@ -109,7 +110,7 @@
     }
   }
 
-  void a_notice_of_a_zone_outlasts_a_cut_and_the_latest_holds() {
+  void a_resumed_member_gets_the_latest_zone_notice() {
     Cluster cluster(6);
     cluster.simulation.freeze(5);
     cluster.simulation.state(0).announce_zone(notice(7, true));
@@ -121,7 +122,7 @@
     cluster.until([&] { return all_hold(cluster, 6, notice(9, false)); }, 2s);
   }
 
-  void a_frozen_process_refutes_when_it_wakes() {
+  void a_resumed_process_refutes_its_death() {
     Cluster cluster(6);
     const core::Incarnation before = cluster.sees(0, 3).incarnation;
     cluster.simulation.freeze(3);
@@ -134,7 +135,7 @@
     CPPUNIT_ASSERT_EQUAL(wire::life_of(before), wire::life_of(cluster.sees(0, 3).incarnation));
   }
 
-  void a_frozen_process_accuses_nobody_when_it_wakes() {
+  void a_resumed_process_suspects_no_live_member() {
     Cluster cluster(6);
     cluster.simulation.freeze(3);
     cluster.run(1min);
@@ -148,7 +149,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, cluster.simulation.state(3).counts().pauses);
   }
 
-  void a_process_marked_while_frozen_wakes_leaving() {
+  void a_process_marked_while_frozen_resumes_as_leaving() {
     Cluster cluster(6);
     cluster.simulation.freeze(3);
     cluster.simulation.state(1).mark_leaving(GossipSimulation::node_name(3));
@@ -159,7 +160,7 @@
     CPPUNIT_ASSERT(cluster.sees(0, 3).state == MemberState::kLeaving);
   }
 
-  void news_told_during_a_pause_is_caught_up_with_at_once() {
+  void updates_missed_during_a_pause_are_fetched_at_once() {
     for (std::uint64_t trial = 0; trial < 20; ++trial) {
       Cluster cluster(8);
       cluster.run(trial * 300ms);
@@ -174,19 +175,19 @@
     }
   }
 
-  void a_woken_process_is_not_current_before_it_has_the_marks() {
+  void a_resumed_process_is_not_current_before_it_has_the_marks() {
     for (std::uint64_t trial = 0; trial < 20; ++trial) {
       GossipSimulationSettings settings;
       settings.members = 8;
-      settings.latency = 120ms;  // an answer takes more than a tick
-      // In every other trial nobody ever has the bytes for a whole answer.
+      settings.latency = 120ms;  // an answer takes longer than one tick
+      // In every other trial, no member ever has the budget for a full answer.
       settings.gossip.bytes_per_second = trial % 2 == 0 ? 6000 : 2000;
       Cluster cluster(settings);
       cluster.run(trial * 300ms);
       GossipSimulation& simulation = cluster.simulation;
       CPPUNIT_ASSERT(simulation.state(3).current(simulation.now()));
       simulation.freeze(3);
-      // Dead to the others, so that no news of the marks waits in its socket.
+      // The others consider it dead, so that no updates about the marks wait in its socket.
       cluster.until([&] { return cluster.sees(1, 3).state == MemberState::kDead; }, 30s);
       for (int replica = 0; replica < 50; ++replica) {
         simulation.state(1).mark_replica_draining(
@@ -200,7 +201,7 @@
     }
   }
 
-  void a_woken_process_alone_goes_on_asking() {
+  void a_resumed_process_without_peers_keeps_asking() {
     Cluster cluster(2);
     GossipSimulation& simulation = cluster.simulation;
     simulation.freeze(0);
@@ -213,7 +214,7 @@
     cluster.until([&] { return simulation.state(0).current(simulation.now()); }, 1s);
   }
 
-  void a_mark_outlasts_death_and_not_a_new_process() {
+  void a_mark_survives_death_but_not_a_new_process() {
     Cluster cluster(5);
     cluster.simulation.state(2).announce_leaving();
     cluster.until([&] { return cluster.sees(0, 2).leaving; }, 10s);
@@ -226,7 +227,7 @@
     CPPUNIT_ASSERT(!cluster.sees(0, 2).leaving);
   }
 
-  void a_cut_heals_without_false_deaths_on_either_side() {
+  void a_partition_heals_without_false_deaths_on_either_side() {
     Cluster cluster(12);
     const auto side = [](std::size_t node) { return node % 2; };
     for (std::size_t node = 0; node < 12; ++node) {
@@ -245,7 +246,7 @@
       CPPUNIT_ASSERT(cluster.simulation.now() < limit);
       cluster.simulation.step();
       for (std::size_t node = 0; node < 12; ++node) {
-        const std::size_t observer = side(node);  // on the same side all along
+        const std::size_t observer = side(node);  // on the same side throughout
         CPPUNIT_ASSERT(cluster.sees(observer, node).state != MemberState::kDead);
       }
     }
@@ -254,7 +255,7 @@
                   30s);
   }
 
-  void a_farewell_needs_no_timeout() {
+  void a_leave_message_is_effective_without_a_timeout() {
     Cluster cluster(5);
     GossipState& leaver = cluster.simulation.state(4);
     leaver.announce_leaving();
@@ -278,19 +279,19 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.counts().misdirected);
   }
 
-  void an_idle_cluster_is_cheap_and_news_keeps_the_budget() {
+  void traffic_stays_within_budget_when_idle_and_under_updates() {
     GossipSimulationSettings settings;
     settings.members = 30;
     settings.gossip.bytes_per_second = 6'000;
     const GossipMeasurement measured = measure_gossip(settings);
     CPPUNIT_ASSERT(measured.idle_bytes_per_second < 1'000);
-    CPPUNIT_ASSERT(measured.busiest_bytes_per_second < 20'000);
+    CPPUNIT_ASSERT(measured.peak_bytes_per_second < 20'000);
     CPPUNIT_ASSERT(measured.drain_mark && *measured.drain_mark < 3s);
     CPPUNIT_ASSERT(measured.revision && *measured.revision < 3s);
     CPPUNIT_ASSERT(measured.failures && *measured.failures < 20s);
   }
 
-  void the_same_seeds_told_again_send_nothing_more() {
+  void setting_the_same_seeds_again_sends_nothing_more() {
     wire::Member self;
     self.node = core::NodeId("alone");
     GossipState state(self, {}, 1);
@@ -301,12 +302,12 @@
       packets += state.on_tick(now).size();
       now += 50ms;
     }
-    // Over two seconds, with an attempt a second while nobody is known.
+    // In two seconds, with one attempt per second while no member is known.
     CPPUNIT_ASSERT(packets >= 2);
     CPPUNIT_ASSERT(packets <= 3);
   }
 
-  void dead_members_are_forgotten_in_the_end() {
+  void dead_members_are_eventually_forgotten() {
     GossipSimulationSettings settings;
     settings.gossip.dead_retention = 1min;
     GossipSimulation simulation(settings);
@@ -321,7 +322,7 @@
         5min));
   }
 
-  void ranked_members_are_live_staying_and_the_same_everywhere() {
+  void ranked_members_are_live_not_leaving_and_the_same_everywhere() {
     Cluster cluster(8);
     cluster.simulation.state(0).mark_leaving(GossipSimulation::node_name(5));
     cluster.simulation.stop(6);
@@ -338,7 +339,7 @@
     }
     std::reverse(members.begin(), members.end());
     CPPUNIT_ASSERT(ranked_members(members, "model", 2)[1] == ranked[1]);
-    // When the first one goes, the others move up and keep their order.
+    // When the first one leaves, the others move up and keep their order.
     std::erase_if(members, [&](const auto& member) { return member.node == ranked[0].node; });
     CPPUNIT_ASSERT(ranked_members(members, "model", 1)[0].node == ranked[1].node);
   }
--- a/tests/unit/controllers/gossip_walk_test.cpp
+++ b/tests/unit/controllers/gossip_walk_test.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// Seeded random walks of whole clusters over loss, cuts, freezes, crashes,
-/// restarts and marks, in virtual time. While the walk goes on, nothing that is
-/// meant to stick may turn back; when the faults end, all must agree. A failing
-/// seed is printed; STONEPORT_GOSSIP_SEED=seed runs that one walk alone, with
-/// STONEPORT_GOSSIP_MEMBERS for its size.
+/// Randomized test of whole clusters in virtual time, reproducible from its seed: packet
+/// loss, partitions, freezes, crashes, restarts and drain marks. During the run, state that
+/// must be permanent may not revert; when the faults end, all members must converge. A
+/// failing seed is printed. STONEPORT_GOSSIP_SEED=seed replays only that run, with
+/// STONEPORT_GOSSIP_MEMBERS setting its size.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -26,21 +26,21 @@
   settings.seed = seed;
   settings.tick = std::chrono::milliseconds(200);
   settings.latency = std::chrono::milliseconds(3);
-  settings.gossip.shortest_suspicion = std::chrono::seconds(2);
+  settings.gossip.min_suspicion_timeout = std::chrono::seconds(2);
   settings.gossip.reconnect_interval = std::chrono::seconds(2);
   settings.gossip.sync_interval = std::chrono::seconds(5);
   return settings;
 }
 
-/// Remembers what each process has shown, and says what turned back.
-class StickyCheck {
+/// Records the state that each process has shown and reports any reversal.
+class MonotonicityCheck {
  public:
-  explicit StickyCheck(std::size_t size) : seen_(size) {}
+  explicit MonotonicityCheck(std::size_t size) : seen_(size) {}
 
-  /// A restarted process has shown nothing yet.
+  /// Clears the state of a process that was restarted.
   void forget(std::size_t observer) { seen_[observer] = GossipRecords(); }
 
-  /// \return what turned back, or nothing.
+  /// \return a description of the reversed state, or an empty text
   std::string look(const GossipSimulation& simulation) {
     for (std::size_t observer = 0; observer < simulation.size(); ++observer) {
       if (!simulation.running(observer)) {
@@ -98,13 +98,13 @@
   std::vector<GossipRecords> seen_;
 };
 
-/// One walk: a schedule of faults and news drawn from one seed.
+/// One run with a random schedule of faults and updates, determined by the seed.
 class Walk {
  public:
   Walk(std::size_t members, std::uint64_t seed)
       : simulation_(walk_settings(members, seed)), random_(seed ^ 0x57a1e), check_(members) {}
 
-  /// \return what went wrong, or nothing.
+  /// \return a description of the failure, or an empty text
   std::string run() {
     const core::MonotonicTime faults_end = simulation_.now() + kFaultTime;
     core::MonotonicTime next_action = simulation_.now();
@@ -173,7 +173,7 @@
     }
     check_.forget(index);
     if (random_.chance(0.2)) {
-      simulation_.restart(index, 1);  // its clock is behind its predecessor's
+      simulation_.restart(index, 1);  // its clock is behind that of its predecessor
     } else {
       simulation_.restart(index);
     }
@@ -210,7 +210,7 @@
       simulation_.set_group(index, 0);
       simulation_.wake(index);
     }
-    // A seed must be there for newcomers to find.
+    // A seed member must be running for new members to join.
     restart(0);
   }
 
@@ -261,7 +261,7 @@
 
   GossipSimulation simulation_;
   core::RandomSource random_;
-  StickyCheck check_;
+  MonotonicityCheck check_;
   std::uint64_t revision_ = 0;
 };
 
@@ -285,7 +285,7 @@
 class GossipWalkTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GossipWalkTest);
   CPPUNIT_TEST(small_clusters);
-  CPPUNIT_TEST(middling_clusters);
+  CPPUNIT_TEST(medium_clusters);
   CPPUNIT_TEST(large_clusters);
   CPPUNIT_TEST_SUITE_END();
 
@@ -299,7 +299,7 @@
     }
     run_walks(1, 10'000, 3, 5);
   }
-  void middling_clusters() { run_walks(20'001, 100, 6, 12); }
+  void medium_clusters() { run_walks(20'001, 100, 6, 12); }
   void large_clusters() { run_walks(30'001, 5, 48, 50); }
 };
 
--- a/tests/unit/controllers/lease_test.cpp
+++ b/tests/unit/controllers/lease_test.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Leases: the arithmetic in tables under virtual time, and a seeded random walk
-/// of keepers over one store with faults, pauses and outages.
+/// Tests of leases: tables of transitions in virtual time, and a randomized test,
+/// reproducible from its seed, of several lease managers that share a store with faults,
+/// pauses and outages.
 #include "controllers/lease.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,7 +9,7 @@
 
 #include <boost/asio/detached.hpp>
 
-#include "controllers/lease_keeper.hpp"
+#include "controllers/lease_manager.hpp"
 #include "support/fake_table_service.hpp"
 #include "support/run_task.hpp"
 #include "support/scheduled_table_service.hpp"
@@ -34,7 +35,7 @@
   return {LeaseRecord{std::move(holder), Epoch(epoch), seconds(10)}, Revision(revision)};
 }
 
-/// A lease held at epoch 1 by a write that was sent at time 0.
+/// Returns a lease that is held at epoch 1 through a write sent at time 0.
 LeaseState held_at_zero() {
   LeaseState lease(kSelf, kSettings);
   lease.on_read(std::nullopt, at(0));
@@ -48,11 +49,11 @@
   CPPUNIT_TEST(acquisition_table);
   CPPUNIT_TEST(observer_waits_a_full_duration);
   CPPUNIT_TEST(holder_stops_before_the_observer_starts);
-  CPPUNIT_TEST(woken_holder_must_not_act);
-  CPPUNIT_TEST(outage_leaves_fenced_effects_only);
-  CPPUNIT_TEST(records_are_read_strictly);
-  CPPUNIT_TEST(keeper_adopts_an_acquisition_whose_answer_was_lost);
-  CPPUNIT_TEST(keeper_releases_what_is_no_longer_wanted);
+  CPPUNIT_TEST(resumed_holder_has_no_lease);
+  CPPUNIT_TEST(outage_allows_fenced_effects_only);
+  CPPUNIT_TEST(malformed_records_are_rejected);
+  CPPUNIT_TEST(manager_adopts_an_acquisition_with_lost_response);
+  CPPUNIT_TEST(manager_releases_unwanted_leases);
   CPPUNIT_TEST(unreadable_row_ends_the_lease);
   CPPUNIT_TEST(release_waits_for_the_round_in_progress);
   CPPUNIT_TEST(random_walk_has_one_holder);
@@ -86,7 +87,7 @@
       lease.on_read(test.row, at(0));
       const LeasePlan plan = lease.plan(at(0), true);
       CPPUNIT_ASSERT_MESSAGE(test.name, plan.step == test.step);
-      CPPUNIT_ASSERT_MESSAGE(test.name, lease.standing(at(0)) == LeaseStanding::kNone);
+      CPPUNIT_ASSERT_MESSAGE(test.name, lease.status(at(0)) == LeaseStatus::kNone);
       if (plan.write) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(test.name, Epoch(test.epoch), plan.write->record.epoch);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(test.name, Revision(test.condition), plan.write->condition);
@@ -103,7 +104,7 @@
     const Step steps[] = {
         {0, 5, LeaseStep::kWait},  {4, 5, LeaseStep::kWait},  {8, 6, LeaseStep::kWait},
         {12, 6, LeaseStep::kWait}, {16, 6, LeaseStep::kWait}, {18, 6, LeaseStep::kWrite},
-        {40, 6, LeaseStep::kWait},  // an observation with a gap starts anew
+        {40, 6, LeaseStep::kWait},  // an observation with a gap restarts the wait
         {44, 6, LeaseStep::kWait}, {48, 6, LeaseStep::kWait}, {50, 6, LeaseStep::kWrite},
     };
     LeaseState lease(kSelf, kSettings);
@@ -117,35 +118,34 @@
     const LeaseState holder = held_at_zero();
     LeaseState observer(kOther, kSettings);
     observer.on_read(observed(kSelf, 1, 1), at(0));
-    CPPUNIT_ASSERT(holder.standing(at(7)) == LeaseStanding::kHeld);
-    CPPUNIT_ASSERT(holder.standing(at(8)) == LeaseStanding::kNone);
+    CPPUNIT_ASSERT(holder.status(at(7)) == LeaseStatus::kHeld);
+    CPPUNIT_ASSERT(holder.status(at(8)) == LeaseStatus::kNone);
     CPPUNIT_ASSERT(observer.plan(at(9), true).step == LeaseStep::kWait);
   }
 
-  void woken_holder_must_not_act() {
+  void resumed_holder_has_no_lease() {
     LeaseState lease = held_at_zero();
-    CPPUNIT_ASSERT(lease.standing(at(60)) == LeaseStanding::kNone);
-    // An attempt that spans the pause gives no licence either.
+    CPPUNIT_ASSERT(lease.status(at(60)) == LeaseStatus::kNone);
+    // An attempt that spans the pause does not allow effects either.
     lease.on_write_failed(at(3), at(60), true);
-    CPPUNIT_ASSERT(lease.standing(at(60)) == LeaseStanding::kNone);
+    CPPUNIT_ASSERT(lease.status(at(60)) == LeaseStatus::kNone);
     lease.on_read(observed(kOther, 2, 7), at(60));
-    CPPUNIT_ASSERT(lease.standing(at(60)) == LeaseStanding::kNone);
+    CPPUNIT_ASSERT(lease.status(at(60)) == LeaseStatus::kNone);
     CPPUNIT_ASSERT_EQUAL(Epoch(), lease.epoch());
   }
 
-  void outage_leaves_fenced_effects_only() {
+  void outage_allows_fenced_effects_only() {
     LeaseState lease = held_at_zero();
     for (int second = 2; second < 3600; second += 2) {
       lease.on_write_failed(at(second), at(second), false);
-      const LeaseStanding expected =
-          second < 8 ? LeaseStanding::kHeld : LeaseStanding::kUnconfirmed;
-      CPPUNIT_ASSERT(lease.standing(at(second)) == expected);
+      const LeaseStatus expected = second < 8 ? LeaseStatus::kHeld : LeaseStatus::kUnconfirmed;
+      CPPUNIT_ASSERT(lease.status(at(second)) == expected);
     }
     lease.on_row_lost();
-    CPPUNIT_ASSERT(lease.standing(at(3600)) == LeaseStanding::kNone);
+    CPPUNIT_ASSERT(lease.status(at(3600)) == LeaseStatus::kNone);
   }
 
-  void records_are_read_strictly() {
+  void malformed_records_are_rejected() {
     const LeaseRecord record{kSelf, Epoch(3), seconds(10)};
     const auto again = parse_lease(encode_lease(record));
     CPPUNIT_ASSERT(again && again->holder == record.holder && again->epoch == record.epoch &&
@@ -162,25 +162,25 @@
     }
   }
 
-  void keeper_adopts_an_acquisition_whose_answer_was_lost() {
+  void manager_adopts_an_acquisition_with_lost_response() {
     support::FakeTableService table;
     core::ManualTimeSource clock;
     core::Metrics metrics;
-    LeaseKeeper keeper(table, clock, kSelf, kSettings, 1, metrics);
-    keeper.set_wanted({"x"});
+    LeaseManager manager(table, clock, kSelf, kSettings, 1, metrics);
+    manager.set_wanted({"x"});
     table.faults.answers_lost_after_write = 1;
-    round(keeper);
-    CPPUNIT_ASSERT(!keeper.held_epoch("x"));
-    round(keeper);
-    CPPUNIT_ASSERT(keeper.held_epoch("x") == Epoch(1));
+    round(manager);
+    CPPUNIT_ASSERT(!manager.held_epoch("x"));
+    round(manager);
+    CPPUNIT_ASSERT(manager.held_epoch("x") == Epoch(1));
   }
 
-  void keeper_releases_what_is_no_longer_wanted() {
+  void manager_releases_unwanted_leases() {
     support::FakeTableService table;
     core::ManualTimeSource clock;
     core::Metrics metrics;
-    LeaseKeeper first(table, clock, kSelf, kSettings, 1, metrics);
-    LeaseKeeper second(table, clock, kOther, kSettings, 2, metrics);
+    LeaseManager first(table, clock, kSelf, kSettings, 1, metrics);
+    LeaseManager second(table, clock, kOther, kSettings, 2, metrics);
     first.set_wanted({"x"});
     second.set_wanted({"x"});
     round(first);
@@ -193,21 +193,21 @@
     CPPUNIT_ASSERT(second.held_epoch("x") == Epoch(2));
   }
 
-  /// The store did answer: its silence is no excuse to go on.
+  /// The store did answer, so this is not an outage during which the holder may continue.
   void unreadable_row_ends_the_lease() {
     support::FakeTableService table;
     core::ManualTimeSource clock;
     core::Metrics metrics;
-    LeaseKeeper keeper(table, clock, kSelf, kSettings, 1, metrics);
-    keeper.set_wanted({"x"});
-    round(keeper);
+    LeaseManager manager(table, clock, kSelf, kSettings, 1, metrics);
+    manager.set_wanted({"x"});
+    round(manager);
     table.faults.answers_lost_before_write = 1;
-    round(keeper);
-    CPPUNIT_ASSERT(keeper.held_epoch("x"));
+    round(manager);
+    CPPUNIT_ASSERT(manager.held_epoch("x"));
     table.put({"leases", "x"}, "{}", "rival");
     clock.advance(seconds(60));
-    round(keeper);
-    CPPUNIT_ASSERT(!keeper.fenced_epoch("x"));
+    round(manager);
+    CPPUNIT_ASSERT(!manager.fenced_epoch("x"));
   }
 
   void release_waits_for_the_round_in_progress() {
@@ -217,11 +217,11 @@
     support::ScheduledTableService table(store, 1, no_faults);
     core::ManualTimeSource clock;
     core::Metrics metrics;
-    LeaseKeeper keeper(table, clock, kSelf, kSettings, 1, metrics);
-    keeper.set_wanted({"x"});
+    LeaseManager manager(table, clock, kSelf, kSettings, 1, metrics);
+    manager.set_wanted({"x"});
     bool released = false;
-    boost::asio::co_spawn(context_, keeper.run_round(), boost::asio::detached);
-    boost::asio::co_spawn(context_, keeper.release_all(),
+    boost::asio::co_spawn(context_, manager.run_round(), boost::asio::detached);
+    boost::asio::co_spawn(context_, manager.release_all(),
                           [&released](std::exception_ptr) { released = true; });
     context_.restart();
     while (!released) {
@@ -235,17 +235,18 @@
     CPPUNIT_ASSERT(record && !record->holder && record->epoch == Epoch(1));
   }
 
-  void round(LeaseKeeper& keeper) { support::run_task(context_, run_one(keeper)); }
-  static boost::asio::awaitable<bool> run_one(LeaseKeeper& keeper) {
-    co_await keeper.run_round();
+  void round(LeaseManager& manager) { support::run_task(context_, run_one(manager)); }
+  static boost::asio::awaitable<bool> run_one(LeaseManager& manager) {
+    co_await manager.run_round();
     co_return true;
   }
 
   boost::asio::io_context context_;
 };
 
-/// Three keepers run rounds in any order; time passes between, some pause, the
-/// store fails in every way. At no time may two hold; epochs of holders grow.
+/// Three managers run rounds in random order. Time passes in between, some pause, and the
+/// store fails in various ways. At most one may hold the lease at any time, and the epochs
+/// of successive holders increase.
 void LeaseTest::random_walk_has_one_holder() {
   constexpr std::uint64_t kSchedules = 300;
   std::uint64_t takeovers = 0;
@@ -255,11 +256,11 @@
     support::FakeTableService table;
     core::ManualTimeSource clock;
     core::Metrics metrics;
-    std::vector<std::unique_ptr<LeaseKeeper>> keepers;
+    std::vector<std::unique_ptr<LeaseManager>> keepers;
     for (const char* node : {"a", "b", "c"}) {
       LeaseHolder self{core::NodeId(node), core::Incarnation(1)};
       keepers.push_back(
-          std::make_unique<LeaseKeeper>(table, clock, self, kSettings, seed, metrics));
+          std::make_unique<LeaseManager>(table, clock, self, kSettings, seed, metrics));
       keepers.back()->set_wanted({"x"});
     }
     Epoch highest;
@@ -279,8 +280,8 @@
         round(*keepers[chosen]);
       }
       int holders = 0;
-      for (const auto& keeper : keepers) {
-        const auto epoch = keeper->held_epoch("x");
+      for (const auto& manager : keepers) {
+        const auto epoch = manager->held_epoch("x");
         if (epoch) {
           ++holders;
           CPPUNIT_ASSERT_MESSAGE(name, *epoch >= highest);
--- a/tests/unit/controllers/operator_configuration_test.cpp
+++ b/tests/unit/controllers/operator_configuration_test.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// The operators' interface for documents and the peers' interface, over
-/// loopback: what each call answers.
+/// Tests the responses of the operator and peer routes for configuration over loopback.
 #include "configuration_fixture.hpp"
 
 namespace stoneport::controllers {
@@ -11,7 +10,7 @@
   std::string target;
   std::string body;
   unsigned status;
-  std::string contains;  ///< part of the body that must be there
+  std::string contains;  ///< expected part of the body
 };
 
 const std::string kTemplate = R"({"kind":"event-template","name":"t","model":"proposal"})";
@@ -25,9 +24,9 @@
   CPPUNIT_TEST_SUITE(OperatorConfigurationTest);
   CPPUNIT_TEST(answers_in_order);
   CPPUNIT_TEST(malformed_requests_change_nothing);
-  CPPUNIT_TEST(faults_of_the_store_are_told_apart);
+  CPPUNIT_TEST(store_faults_are_distinguished);
   CPPUNIT_TEST(counts_members_in_force);
-  CPPUNIT_TEST(peers_are_answered_what_they_lack);
+  CPPUNIT_TEST(peers_receive_the_changes_they_lack);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -107,7 +106,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, table_.commits);
   }
 
-  void faults_of_the_store_are_told_apart() {
+  void store_faults_are_distinguished() {
     ConfigurationDaemon& daemon = add_daemon("a", peers_only_options());
     CPPUNIT_ASSERT(run_until_ready(daemon));
     const std::string target = "/v1/operator/templates/t";
@@ -136,7 +135,7 @@
     check(first, {"GET", "/v1/operator/in-force", "", 200, R"("in_force":2,"missing":[])"});
   }
 
-  void peers_are_answered_what_they_lack() {
+  void peers_receive_the_changes_they_lack() {
     ConfigurationDaemon& daemon = add_daemon("a");
     accepted(daemon, event_template("t"), 0);
     accepted(daemon, event_template("u"), 0);
--- a/tests/unit/controllers/routing_freshness_test.cpp
+++ b/tests/unit/controllers/routing_freshness_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// When a routing table may be called current, as a table of calls.
+/// Tests when a routing table counts as current, as a table of calls and results.
 #include "controllers/routing_freshness.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,8 +19,8 @@
 struct Call {
   int at_ms;
   bool gossip_current;
-  bool current;        ///< expected answer
-  int table_until_ms;  ///< expected end of a table made now
+  bool current;        ///< expected result
+  int table_until_ms;  ///< expected end of validity of a table built now
 };
 
 struct Case {
--- a/tests/unit/controllers/routing_table_builder_test.cpp
+++ b/tests/unit/controllers/routing_table_builder_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The routing table out of list, reports, marks and refusals: a table of cases.
+/// Table-driven tests that build the routing table from the machine list, reports, drain
+/// marks and refused connections.
 #include "controllers/routing_table_builder.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -60,13 +61,13 @@
 
 class RoutingTableBuilderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RoutingTableBuilderTest);
-  CPPUNIT_TEST(states_by_table);
+  CPPUNIT_TEST(replica_states);
   CPPUNIT_TEST(digests_carry_what_was_reported);
-  CPPUNIT_TEST(services_and_models_are_apart_and_in_order);
+  CPPUNIT_TEST(services_and_models_are_separate_and_sorted);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void states_by_table() {
+  void replica_states() {
     const auto gone = [](Scene& scene) {
       wire::ReplicaReport report = scene.report();
       report.reachable = false;
@@ -165,7 +166,7 @@
     CPPUNIT_ASSERT((replica.digest->cached_prefixes == std::vector<std::uint64_t>{3, 9}));
   }
 
-  void services_and_models_are_apart_and_in_order() {
+  void services_and_models_are_separate_and_sorted() {
     Scene scene;
     for (const char* id : {"desk-2", "desk-1"}) {
       Machine machine = scene.machines[0];
--- a/tests/unit/controllers/weights_controller_test.cpp
+++ b/tests/unit/controllers/weights_controller_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The weights controller over fake engines: who orders, under which epoch, and
-/// when it stops. Rounds are run by hand.
+/// Tests of the weights controller with fake engines: which daemon sends orders, under
+/// which epoch, and when it stops. The tests run the rounds themselves.
 #include "controllers/weights_controller.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -57,9 +57,9 @@
   CPPUNIT_TEST(only_the_ranked_member_wants_the_lease);
   CPPUNIT_TEST(nothing_is_ordered_without_the_lease);
   CPPUNIT_TEST(orders_carry_the_epoch_and_follow_the_reports);
-  CPPUNIT_TEST(a_lapsed_lease_withholds_what_was_planned);
+  CPPUNIT_TEST(an_expired_lease_prevents_planned_orders);
   CPPUNIT_TEST(a_fenced_owner_stops_until_it_has_a_new_epoch);
-  CPPUNIT_TEST(a_weight_store_that_is_down_does_not_stop_the_rollout);
+  CPPUNIT_TEST(an_unavailable_weight_store_does_not_stop_the_rollout);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -121,12 +121,12 @@
     CPPUNIT_ASSERT(controller_->phases().at(kModel) == RolloutPhase::kConverged);
   }
 
-  void a_lapsed_lease_withholds_what_was_planned() {
+  void an_expired_lease_prevents_planned_orders() {
     ownership_.epoch = core::Epoch(5);
     controller_->run_round();
-    context_.poll();  // the target is known now
+    context_.poll();  // the target is now known
     controller_->run_round();
-    ownership_.epoch = std::nullopt;  // the order is planned and not sent yet
+    ownership_.epoch = std::nullopt;  // the order is planned but not sent yet
     context_.restart();
     context_.poll();
     CPPUNIT_ASSERT(engine_->orders.empty());
@@ -142,7 +142,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engine_->orders.size());
   }
 
-  void a_weight_store_that_is_down_does_not_stop_the_rollout() {
+  void an_unavailable_weight_store_does_not_stop_the_rollout() {
     store_.down = true;
     ownership_.epoch = core::Epoch(5);
     rounds(2);
--- a/tests/unit/controllers/weights_rollout_test.cpp
+++ b/tests/unit/controllers/weights_rollout_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Rollouts of weights against simulated engines whose orders take time, fail
-/// and are lost; virtual time.
+/// Tests of weight rollouts in virtual time, with simulated engines whose orders take time,
+/// fail or are lost.
 #include "controllers/weights_rollout.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,7 +18,7 @@
 constexpr core::Duration kStep = 250ms;
 constexpr core::Duration kReportLag = 1s;
 
-/// An engine that takes orders, swaps for a while and reports with a lag.
+/// Simulated engine that accepts orders, takes time to swap, and reports with a delay.
 struct SimulatedEngine {
   ReplicaWeights truth;
   core::Duration fetch_time = 2s;
@@ -149,14 +149,14 @@
   CPPUNIT_TEST_SUITE(WeightsRolloutTest);
   CPPUNIT_TEST(nothing_is_ordered_without_a_target);
   CPPUNIT_TEST(all_prefetch_within_the_limit_and_then_switch_together);
-  CPPUNIT_TEST(one_engine_that_cannot_prefetch_does_not_hold_the_others_for_ever);
+  CPPUNIT_TEST(one_engine_that_cannot_prefetch_does_not_block_the_others);
   CPPUNIT_TEST(a_failed_swap_is_ordered_again);
-  CPPUNIT_TEST(an_engine_that_starts_anew_with_old_weights_is_brought_up);
+  CPPUNIT_TEST(a_restarted_engine_with_old_weights_is_updated);
   CPPUNIT_TEST(an_unusable_engine_gets_no_order);
-  CPPUNIT_TEST(a_newer_target_replaces_the_older_and_never_the_other_way);
+  CPPUNIT_TEST(a_newer_target_replaces_an_older_one_but_not_vice_versa);
   CPPUNIT_TEST(a_new_owner_continues_from_the_reports);
-  CPPUNIT_TEST(begins_with_as_many_as_the_store_serves_in_a_short_time);
-  CPPUNIT_TEST(a_slow_engine_does_not_hold_those_that_began_with_it);
+  CPPUNIT_TEST(initial_prefetches_match_the_target_transfer_time);
+  CPPUNIT_TEST(a_slow_engine_does_not_block_those_that_started_with_it);
   CPPUNIT_TEST(converges_over_random_faults);
   CPPUNIT_TEST_SUITE_END();
 
@@ -179,7 +179,7 @@
     CPPUNIT_ASSERT(world.prefetch_times.back() < world.load_times.front());
   }
 
-  void one_engine_that_cannot_prefetch_does_not_hold_the_others_for_ever() {
+  void one_engine_that_cannot_prefetch_does_not_block_the_others() {
     World world(3, {});
     world.engine(1).fetch_time = 1000s;
     world.aim(2);
@@ -200,7 +200,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, world.engine(0).loads);
   }
 
-  void an_engine_that_starts_anew_with_old_weights_is_brought_up() {
+  void a_restarted_engine_with_old_weights_is_updated() {
     World world(3, {});
     world.aim(2);
     CPPUNIT_ASSERT(world.run_until_all_at(2, 60s));
@@ -219,7 +219,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, world.engine(1).loads);
   }
 
-  void a_newer_target_replaces_the_older_and_never_the_other_way() {
+  void a_newer_target_replaces_an_older_one_but_not_vice_versa() {
     World world(3, {});
     world.aim(2);
     world.step();
@@ -245,16 +245,17 @@
     CPPUNIT_ASSERT_EQUAL(prefetches, world.prefetch_times.size());
   }
 
-  void begins_with_as_many_as_the_store_serves_in_a_short_time() {
+  void initial_prefetches_match_the_target_transfer_time() {
     struct Case {
       std::string name;
       std::uint64_t size_bytes;
       std::uint64_t bytes_per_second;
       std::uint32_t most;
       std::size_t expected;
-      core::Duration short_transfer = 2500ms;
+      core::Duration target_transfer_time = 2500ms;
     };
-    // 20 engines, at least 3 at a time, 2.5 s: 2.5 times the rate over the size.
+    // 20 engines, at least 3 concurrent readers, 2.5 s: 2.5 times the rate divided by the
+    // size.
     const std::vector<Case> cases = {
         {"the store serves all", 100, 800, 600, 20},
         {"the store serves all, to the byte", 100, 1'000, 600, 20},
@@ -273,8 +274,8 @@
     for (const Case& one : cases) {
       RolloutSettings settings;
       settings.parallel_prefetches = 3;
-      settings.most_parallel_prefetches = one.most;
-      settings.short_transfer = one.short_transfer;
+      settings.max_parallel_prefetches = one.most;
+      settings.target_transfer_time = one.target_transfer_time;
       World world(20, settings);
       world.rollout.set_target({core::PolicyName("policy"), core::WeightVersion(2), one.size_bytes,
                                 one.bytes_per_second});
@@ -285,11 +286,11 @@
     }
   }
 
-  void a_slow_engine_does_not_hold_those_that_began_with_it() {
+  void a_slow_engine_does_not_block_those_that_started_with_it() {
     RolloutSettings settings;
     settings.parallel_prefetches = 3;
-    settings.most_parallel_prefetches = 600;
-    settings.short_transfer = 4s;
+    settings.max_parallel_prefetches = 600;
+    settings.target_transfer_time = 4s;
     settings.switch_order = SwitchOrder::kAsReady;
     World world(20, settings);
     world.engine(7).fetch_time = 1000s;
--- a/tests/unit/controllers/weights_switch_order_test.cpp
+++ b/tests/unit/controllers/weights_switch_order_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of when replicas that have their weights are told to switch.
+/// Tests when replicas that have prefetched their weights are ordered to switch.
 #include <cppunit/TestAssert.h>
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,7 +11,7 @@
 class WeightsSwitchOrderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WeightsSwitchOrderTest);
   CPPUNIT_TEST(replicas_switch_together_or_as_ready);
-  CPPUNIT_TEST(as_many_read_at_a_time_as_use_up_the_store);
+  CPPUNIT_TEST(concurrent_prefetches_saturate_the_store);
   CPPUNIT_TEST_SUITE_END();
 
   static ReplicaWeights replica(const std::string& id, std::uint64_t prefetched) {
@@ -34,22 +34,22 @@
   }
 
  public:
-  void as_many_read_at_a_time_as_use_up_the_store() {
+  void concurrent_prefetches_saturate_the_store() {
     RolloutSettings settings;
     settings.parallel_prefetches = 2;
-    settings.most_parallel_prefetches = 100;
+    settings.max_parallel_prefetches = 100;
     WeightsRollout rollout(settings);
     core::MonotonicTime now{std::chrono::seconds(1)};
     std::vector<ReplicaWeights> replicas;
     for (int index = 0; index < 20; ++index) {
       replicas.push_back(replica("replica-" + std::to_string(100 + index), 0));
     }
-    // The store gives 100 bytes a second, one transfer of 100 bytes takes 10 s.
+    // The store serves 100 bytes per second; one transfer of 100 bytes takes 10 s.
     rollout.set_target({core::PolicyName("policy"), core::WeightVersion(2), 100, 100});
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, rollout.plan(replicas, now).size());
     now += std::chrono::seconds(10);
     replicas[0].prefetched = core::WeightVersion(2);
-    // One of the two still reads; ten at a time use up the store.
+    // One of the two is still reading; ten concurrent readers saturate the store.
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, rollout.plan(replicas, now).size());
     CPPUNIT_ASSERT(rollout.plan(replicas, now).empty());
   }
--- a/tests/unit/node/gossip_zone_test.cpp
+++ b/tests/unit/node/gossip_zone_test.cpp
@@ -154,7 +154,8 @@
     for (const std::uint64_t seed : {8, 9, 10}) {
       World world(seed);
       const auto is_answered = [&] {
-        return reaches_others(world.simulation.state(2).answer_silence(world.simulation.now()));
+        return reaches_others(
+            world.simulation.state(2).time_since_last_answer(world.simulation.now()));
       };
       for (int step = 0; step < 100; ++step) {
         world.simulation.step();
