--- a/tests/unit/controllers/gossip_state_test.cpp
+++ b/tests/unit/controllers/gossip_state_test.cpp
@@ -259,7 +259,7 @@
     Cluster cluster(5);
     GossipState& leaver = cluster.simulation.state(4);
     leaver.announce_leaving();
-    const std::vector<OutgoingPacket> packets = leaver.farewell();
+    const std::vector<OutgoingPacket> packets = leaver.leave_packets();
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, packets.size());
     GossipState& other = cluster.simulation.state(0);
     other.on_packet(leaver.self().gossip_address, packets.front().bytes, cluster.simulation.now());
