--- a/src/controllers/configuration_controller.hpp
+++ b/src/controllers/configuration_controller.hpp
@@ -138,7 +138,7 @@
   boost::asio::steady_timer store_timer_;
   bool stopping_ = false;
   bool members_changed_ = false;
-  /// kFull after a delta that did not match its hash
+  /// Scope of the next fetch; kFull after a delta that did not match its hash.
   FetchScope next_peer_fetch_ = FetchScope::kDelta;
   prometheus::Gauge& revision_gauge_;
 };
--- a/src/controllers/digest_exchange.cpp
+++ b/src/controllers/digest_exchange.cpp
@@ -136,8 +136,8 @@
                                               const wire::Member& first,
                                               const ReplicaReports& reports,
                                               core::MonotonicTime now) const {
-  const auto heard = reports.last_report_time(replica, first.node);
-  if (!heard || now - *heard > kWatcherTimeout) {
+  const auto last_report = reports.last_report_time(replica, first.node);
+  if (!last_report || now - *last_report > kWatcherTimeout) {
     return false;
   }
   const TimedReport* best = reports.best(replica, now);
--- a/src/controllers/event_warm_up_controller.cpp
+++ b/src/controllers/event_warm_up_controller.cpp
@@ -88,7 +88,7 @@
       continue;
     }
     const rollout::WarmUpDecision decision = decide(*configuration, *in_force);
-    note_state(event, decision);
+    update_state(event, decision);
     if (!decision.connect_to.empty()) {
       connect(decision.connect_to, *parameters.scheduled_start - time_.wall_now());
     }
@@ -135,8 +135,8 @@
     if (replica.digest) {
       engine.version = replica.digest->version;
     }
-    const auto reached = reached_.find(replica.address);
-    if (reached != reached_.end()) {
+    const auto reached = connected_at_.find(replica.address);
+    if (reached != connected_at_.end()) {
       engine.connection_age = time_.now() - reached->second;
     }
     engines.push_back(std::move(engine));
@@ -153,8 +153,8 @@
   return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), is_behind));
 }
 
-void EventWarmUpController::note_state(const core::EventName& event,
-                                       const rollout::WarmUpDecision& decision) {
+void EventWarmUpController::update_state(const core::EventName& event,
+                                         const rollout::WarmUpDecision& decision) {
   const auto known = decisions_.find(event);
   const bool was_known = known != decisions_.end();
   const WarmUpState before = was_known ? known->second.state : WarmUpState::kUnscheduled;
@@ -184,15 +184,16 @@
                                     core::Duration left) {
   const double spread = core::to_seconds(std::min(kMaxConnectSpread, left / 2));
   for (const core::Address& address : engines) {
-    if (reaching_.insert(address).second) {
+    if (connecting_.insert(address).second) {
       const core::Duration pause = core::from_seconds(spread * random_.fraction());
-      runtime::start(executor_, "event connection", reach(alive_, address, pause));
+      runtime::start(executor_, "event connection", connect_to(alive_, address, pause));
     }
   }
 }
 
-asio::awaitable<void> EventWarmUpController::reach(std::weak_ptr<bool> alive, core::Address address,
-                                                   core::Duration pause) {
+asio::awaitable<void> EventWarmUpController::connect_to(std::weak_ptr<bool> alive,
+                                                        core::Address address,
+                                                        core::Duration pause) {
   co_await runtime::sleep_for(pause);
   if (alive.expired()) {
     co_return;
@@ -202,9 +203,9 @@
   if (alive.expired()) {
     co_return;
   }
-  reaching_.erase(address);
+  connecting_.erase(address);
   if (answered) {
-    reached_[address] = time_.now();
+    connected_at_[address] = time_.now();
     meters_->connections.Increment();
   } else {
     meters_->failures.Increment();
--- a/src/controllers/event_warm_up_controller.hpp
+++ b/src/controllers/event_warm_up_controller.hpp
@@ -55,10 +55,10 @@
                                  const config::Configuration::Event& event) const;
   std::vector<rollout::EngineWarmth> engines_of(const core::ModelName& model) const;
   std::size_t daemons_behind(core::Revision revision) const;
-  void note_state(const core::EventName& event, const rollout::WarmUpDecision& decision);
+  void update_state(const core::EventName& event, const rollout::WarmUpDecision& decision);
   void connect(const std::vector<core::Address>& engines, core::Duration left);
-  boost::asio::awaitable<void> reach(std::weak_ptr<bool> alive, core::Address address,
-                                     core::Duration pause);
+  boost::asio::awaitable<void> connect_to(std::weak_ptr<bool> alive, core::Address address,
+                                          core::Duration pause);
 
   boost::asio::any_io_executor executor_;
   EventWarmUpInputs inputs_;
@@ -68,8 +68,8 @@
   std::unique_ptr<Meters> meters_;
   core::RandomSource random_;
   std::map<core::EventName, rollout::WarmUpDecision> decisions_;
-  std::map<core::Address, core::MonotonicTime> reached_;
-  std::set<core::Address> reaching_;
+  std::map<core::Address, core::MonotonicTime> connected_at_;
+  std::set<core::Address> connecting_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/controllers/gossip_controller.cpp
+++ b/src/controllers/gossip_controller.cpp
@@ -147,11 +147,11 @@
   }
 }
 
-bool GossipController::tell(Topic& topic, std::uint64_t version) {
-  if (topic.told == version) {
+bool GossipController::notify_if_changed(Topic& topic, std::uint64_t version) {
+  if (topic.notified_version == version) {
     return false;
   }
-  topic.told = version;
+  topic.notified_version = version;
   for (const Listener& listener : topic.listeners) {
     listener();
   }
@@ -159,18 +159,18 @@
 }
 
 void GossipController::notify_listeners() {
-  if (telling_) {
+  if (notifying_) {
     return;  // the outer call repeats its loop
   }
-  telling_ = true;
-  bool told = true;
-  while (told) {
-    told = tell(member_topic_, state_.members_version());
-    told = tell(policy_topic_, state_.policies_version()) || told;
-    told = tell(drain_mark_topic_, state_.drain_marks_version()) || told;
-    told = tell(zone_topic_, state_.zone_notices_version()) || told;
+  notifying_ = true;
+  bool notified = true;
+  while (notified) {
+    notified = notify_if_changed(member_topic_, state_.members_version());
+    notified = notify_if_changed(policy_topic_, state_.policies_version()) || notified;
+    notified = notify_if_changed(drain_mark_topic_, state_.drain_marks_version()) || notified;
+    notified = notify_if_changed(zone_topic_, state_.zone_notices_version()) || notified;
   }
-  telling_ = false;
+  notifying_ = false;
 }
 
 std::vector<wire::Member> GossipController::members() const {
--- a/src/controllers/gossip_controller.hpp
+++ b/src/controllers/gossip_controller.hpp
@@ -94,7 +94,7 @@
  private:
   struct Meters;
   struct Topic {
-    std::uint64_t told = 0;
+    std::uint64_t notified_version = 0;
     std::vector<Listener> listeners;
   };
   boost::asio::awaitable<void> run(std::weak_ptr<bool> alive);
@@ -103,7 +103,7 @@
   /// Calls the listeners for everything that changed since the last call. A listener may
   /// change the state again.
   void notify_listeners();
-  static bool tell(Topic& topic, std::uint64_t version);
+  static bool notify_if_changed(Topic& topic, std::uint64_t version);
 
   boost::asio::any_io_executor executor_;
   GossipTransport& transport_;
@@ -115,7 +115,7 @@
   Topic drain_mark_topic_;
   Topic zone_topic_;
   MessageListener message_listener_;
-  bool telling_ = false;
+  bool notifying_ = false;
   std::shared_ptr<bool> alive_;  ///< reset by stop(), which ends run()
 };
 
--- a/src/controllers/gossip_records.cpp
+++ b/src/controllers/gossip_records.cpp
@@ -46,7 +46,7 @@
   const auto [position, added] = members_.try_emplace(member.node, member);
   if (added) {
     nodes_by_life_[wire::life_key(member)] = member.node;
-    note_liveness(member);
+    update_live_nodes(member);
     return true;
   }
   wire::Member merged = wire::merge_members(position->second, member);
@@ -95,7 +95,7 @@
   }
   members_[member.node] = member;
   nodes_by_life_[wire::life_key(member)] = member.node;
-  note_liveness(member);
+  update_live_nodes(member);
 }
 
 void GossipRecords::erase(const core::NodeId& node) {
@@ -107,7 +107,7 @@
   }
 }
 
-void GossipRecords::note_liveness(const wire::Member& member) {
+void GossipRecords::update_live_nodes(const wire::Member& member) {
   if (member.state == wire::MemberState::kDead) {
     remove_live(member.node);
     return;
--- a/src/controllers/gossip_records.hpp
+++ b/src/controllers/gossip_records.hpp
@@ -70,7 +70,7 @@
                               std::size_t space) const;
 
  private:
-  void note_liveness(const wire::Member& member);
+  void update_live_nodes(const wire::Member& member);
   void remove_live(const core::NodeId& node);
 
   wire::MemberMap members_;
--- a/src/controllers/gossip_simulation.cpp
+++ b/src/controllers/gossip_simulation.cpp
@@ -243,7 +243,7 @@
   /// Every daemon adopts the revision as soon as gossip reports it.
   void measure_revision() {
     const core::Revision revision(1);
-    const auto heard = [&](const auto& entry) {
+    const auto knows_revision = [&](const auto& entry) {
       return entry.second.configuration_revision >= revision;
     };
     const core::MonotonicTime announced = simulation_.now();
@@ -252,7 +252,7 @@
       bool all = true;
       for (std::size_t index = 0; index < simulation_.size(); ++index) {
         const auto& members = simulation_.state(index).records().members();
-        if (std::any_of(members.begin(), members.end(), heard)) {
+        if (std::any_of(members.begin(), members.end(), knows_revision)) {
           simulation_.state(index).announce_configuration(revision);
         } else {
           all = false;
--- a/src/controllers/gossip_simulation.hpp
+++ b/src/controllers/gossip_simulation.hpp
@@ -91,11 +91,11 @@
 struct GossipMeasurement {
   std::size_t members = 0;
   std::optional<core::Duration> join;        ///< from one seed until all know all
-  std::optional<core::Duration> drain_mark;  ///< until one drain mark is known everywhere
-  std::optional<core::Duration> revision;    ///< until one revision is known everywhere
-  /// until a new revision of every member is known everywhere
+  std::optional<core::Duration> drain_mark;  ///< until one drain mark is known everywhere.
+  std::optional<core::Duration> revision;    ///< until one revision is known everywhere.
+  /// Time until a new revision of every member is known everywhere.
   std::optional<core::Duration> all_revisions;
-  /// until a tenth, killed at once, is known dead everywhere
+  /// Time until a tenth of the members, killed at once, is known dead everywhere.
   std::optional<core::Duration> failures;
   double idle_bytes_per_second = 0;  ///< sent per node while nothing changes
   double peak_bytes_per_second = 0;  ///< sent by one node, maximum over any second
--- a/src/controllers/lease.cpp
+++ b/src/controllers/lease.cpp
@@ -154,7 +154,7 @@
   read_is_fresh_ = false;
 }
 
-void LeaseState::note_unanswered(core::MonotonicTime sent_at, core::MonotonicTime now) {
+void LeaseState::record_unanswered(core::MonotonicTime sent_at, core::MonotonicTime now) {
   if (now - sent_at < settings_.duration / 2) {
     last_unanswered_ = now;
   } else {
@@ -163,13 +163,13 @@
 }
 
 void LeaseState::on_read_failed(core::MonotonicTime sent_at, core::MonotonicTime now) {
-  note_unanswered(sent_at, now);
+  record_unanswered(sent_at, now);
   read_is_fresh_ = false;
 }
 
 void LeaseState::on_write_failed(core::MonotonicTime sent_at, core::MonotonicTime now,
                                  bool may_have_taken_effect) {
-  note_unanswered(sent_at, now);
+  record_unanswered(sent_at, now);
   if (may_have_taken_effect) {
     read_is_fresh_ = false;
   }
--- a/src/controllers/lease.hpp
+++ b/src/controllers/lease.hpp
@@ -102,7 +102,7 @@
   bool row_is_ours() const;
   bool row_is_free(core::MonotonicTime now) const;
   LeasePlan plan_unwanted() const;
-  void note_unanswered(core::MonotonicTime sent_at, core::MonotonicTime now);
+  void record_unanswered(core::MonotonicTime sent_at, core::MonotonicTime now);
   LeasePlan write_plan(std::optional<LeaseHolder> holder, core::Epoch epoch) const;
 
   LeaseHolder self_;
@@ -117,7 +117,7 @@
   core::Epoch epoch_;
   core::MonotonicTime held_until_{};
   /// End of the last attempt that the store did not answer. Set only after a short attempt:
-  /// one that spans a pause of this process shows nothing about the store during that time.
+  /// one that spans a pause of this process shows nothing about the store since then.
   std::optional<core::MonotonicTime> last_unanswered_;
 };
 
--- a/src/controllers/machine_list_controller.cpp
+++ b/src/controllers/machine_list_controller.cpp
@@ -53,18 +53,18 @@
       co_return;
     }
     if (machines) {
-      take(std::move(*machines));
+      update_list(std::move(*machines));
     } else {
       failures_.Increment();
     }
-    const core::Duration whole =
+    const core::Duration interval =
         loaded_ ? poll_interval(interval_, machines_->size()) : kInitialPollInterval;
     const double share = 1 - kJitter / 2 + kJitter * random_.fraction();
-    co_await runtime::sleep_for(core::from_seconds(core::to_seconds(whole) * share));
+    co_await runtime::sleep_for(core::from_seconds(core::to_seconds(interval) * share));
   }
 }
 
-void MachineListController::take(std::vector<ports::Machine> machines) {
+void MachineListController::update_list(std::vector<ports::Machine> machines) {
   if (machines.empty() && !machines_->empty()) {
     empty_lists_.Increment();
     return;
--- a/src/controllers/machine_list_controller.hpp
+++ b/src/controllers/machine_list_controller.hpp
@@ -31,7 +31,7 @@
 
  private:
   boost::asio::awaitable<void> run(std::weak_ptr<bool> alive);
-  void take(std::vector<ports::Machine> machines);
+  void update_list(std::vector<ports::Machine> machines);
 
   boost::asio::any_io_executor executor_;
   ports::MachineList& list_;
--- a/src/controllers/operator_configuration_routes.cpp
+++ b/src/controllers/operator_configuration_routes.cpp
@@ -136,12 +136,12 @@
 }
 
 /// \return the configuration in force with \p documents replaced or added
-config::ConfigurationRecord overlay(config::ConfigurationRecord whole,
+config::ConfigurationRecord overlay(config::ConfigurationRecord configuration,
                                     const std::vector<config::Document>& documents) {
   for (const config::Document& document : documents) {
-    whole.documents[key_of(document)].document = write_document(document);
+    configuration.documents[key_of(document)].document = write_document(document);
   }
-  return whole;
+  return configuration;
 }
 
 nlohmann::json describe_changes(const config::ConfigurationRecord& in_force,
@@ -163,9 +163,10 @@
   if (input.has_error()) {
     co_return problems_response(input.error());
   }
-  const auto whole = config::build_configuration(overlay(controller.record(), input->documents));
-  if (whole.has_error()) {
-    append(input->problems, whole.error());
+  const auto configuration =
+      config::build_configuration(overlay(controller.record(), input->documents));
+  if (configuration.has_error()) {
+    append(input->problems, configuration.error());
   }
   if (!input->problems.empty()) {
     co_return problems_response(input->problems);
--- a/src/controllers/replica_watcher.cpp
+++ b/src/controllers/replica_watcher.cpp
@@ -84,7 +84,7 @@
 
 void ReplicaWatcher::start() {
   alive_ = std::make_shared<bool>(true);
-  const auto mark_stale = [this] { choice_is_stale_ = true; };
+  const auto mark_stale = [this] { watches_are_stale_ = true; };
   machines_.on_change(mark_stale);
   gossip_.on_change(mark_stale);
   gossip_.on_message([this](const ReceivedMessage& received) { receive(received); });
@@ -102,15 +102,15 @@
 std::vector<core::ReplicaId> ReplicaWatcher::wanted() const {
   const auto machines = machines_.machines();
   std::set<core::ReplicaId> replicas;
-  for (const Interest& interest : interests_) {
-    const std::vector<core::ReplicaId> wanted = interest(*machines);
+  for (const ReplicaSelector& selector : selectors_) {
+    const std::vector<core::ReplicaId> wanted = selector(*machines);
     replicas.insert(wanted.begin(), wanted.end());
   }
   return {replicas.begin(), replicas.end()};
 }
 
-void ReplicaWatcher::choose_watches() {
-  choice_is_stale_ = false;
+void ReplicaWatcher::update_watches() {
+  watches_are_stale_ = false;
   const std::vector<wire::Member> members = gossip_.members();
   const core::NodeId self = gossip_.self().node;
   const auto machines = machines_.machines();
@@ -143,8 +143,8 @@
 
 asio::awaitable<void> ReplicaWatcher::run(std::weak_ptr<bool> alive) {
   for (int phase = 0; !alive.expired(); phase = (phase + 1) % kPollGroups) {
-    if (choice_is_stale_ && phase == 0) {
-      choose_watches();
+    if (watches_are_stale_ && phase == 0) {
+      update_watches();
     }
     int position = 0;
     for (const auto& [replica, watch] : watches_) {
@@ -246,11 +246,11 @@
   }
   const core::MonotonicTime taken_at = time_.now();
   own_reports_[replica] = TimedReport{report, taken_at};
-  take(gossip_.self().node, std::move(report), taken_at);
+  accept_report(gossip_.self().node, std::move(report), taken_at);
 }
 
-void ReplicaWatcher::take(const core::NodeId& watcher, wire::ReplicaReport report,
-                          core::MonotonicTime taken_at) {
+void ReplicaWatcher::accept_report(const core::NodeId& watcher, wire::ReplicaReport report,
+                                   core::MonotonicTime taken_at) {
   const auto age = std::chrono::milliseconds(report.age_ms);
   if (!reports_.add(watcher, std::move(report), taken_at - age)) {
     return;
@@ -268,7 +268,7 @@
   if (const auto* push = std::get_if<wire::DigestPush>(&received.message)) {
     for (const wire::ReplicaReport& report : push->reports) {
       meters_->reports.Increment();
-      take(received.sender, report, time_.now());
+      accept_report(received.sender, report, time_.now());
     }
   }
 }
--- a/src/controllers/replica_watcher.hpp
+++ b/src/controllers/replica_watcher.hpp
@@ -24,7 +24,8 @@
 class ReplicaWatcher {
  public:
   /// Selects the replicas from the machine list whose reports this daemon needs.
-  using Interest = std::function<std::vector<core::ReplicaId>(const std::vector<ports::Machine>&)>;
+  using ReplicaSelector =
+      std::function<std::vector<core::ReplicaId>(const std::vector<ports::Machine>&)>;
 
   ReplicaWatcher(boost::asio::any_io_executor executor, MachineListController& machines,
                  GossipController& gossip, ports::ModelEngineFactory& engines, http::Client& client,
@@ -33,7 +34,7 @@
   ~ReplicaWatcher();
 
   /// Adds a selector; reports are requested for the union of all selectors.
-  void add_interest(Interest interest) { interests_.push_back(std::move(interest)); }
+  void add_replica_selector(ReplicaSelector selector) { selectors_.push_back(std::move(selector)); }
   void start();
   void stop() { alive_.reset(); }
 
@@ -59,9 +60,10 @@
       std::shared_ptr<Watch> watch);
   boost::asio::awaitable<core::Result<wire::ReplicaReport>> read_service(
       std::shared_ptr<Watch> watch);
-  void choose_watches();
+  void update_watches();
   void finish_poll(Watch& watch, const core::Result<wire::ReplicaReport>& outcome);
-  void take(const core::NodeId& watcher, wire::ReplicaReport report, core::MonotonicTime taken_at);
+  void accept_report(const core::NodeId& watcher, wire::ReplicaReport report,
+                     core::MonotonicTime taken_at);
   void receive(const ReceivedMessage& received);
   void push_digests();
   void subscribe();
@@ -75,13 +77,13 @@
   ReplicaWatcherSettings settings_;
   const core::TimeSource& time_;
   std::unique_ptr<Meters> meters_;
-  std::vector<Interest> interests_;
+  std::vector<ReplicaSelector> selectors_;
   std::map<core::ReplicaId, std::shared_ptr<Watch>> watches_;
   std::map<core::ReplicaId, TimedReport> own_reports_;
   ReplicaReports reports_;
   DigestPublisher publisher_;
   DigestSubscriber subscriber_;
-  bool choice_is_stale_ = true;
+  bool watches_are_stale_ = true;
   std::vector<std::function<void()>> listeners_;
   std::shared_ptr<bool> alive_;
 };
--- a/src/controllers/routing_table_builder.cpp
+++ b/src/controllers/routing_table_builder.cpp
@@ -24,8 +24,8 @@
   return mark != marks.end() && mark->second >= incarnation;
 }
 
-bool says_leaving(const Machine& machine, const TimedReport* report,
-                  core::Incarnation incarnation) {
+bool is_reported_leaving(const Machine& machine, const TimedReport* report,
+                         core::Incarnation incarnation) {
   const bool listed = machine.state == MachineState::kLeaving && machine.incarnation == incarnation;
   const bool reported =
       report != nullptr && report->report.leaving && report->report.incarnation == incarnation;
@@ -46,7 +46,7 @@
                       core::Incarnation incarnation, const RoutingInputs& inputs) {
   const core::ReplicaId replica(machine.id);
   if (is_marked(replica, incarnation, inputs.drain_marks) ||
-      says_leaving(machine, report, incarnation)) {
+      is_reported_leaving(machine, report, incarnation)) {
     return ReplicaState::kLeaving;
   }
   if (was_refused(machine, report, inputs)) {
@@ -128,7 +128,7 @@
     const core::ReplicaId replica(machine.id);
     const TimedReport* report = inputs.reports.best(replica, inputs.now);
     const core::Incarnation incarnation = newest_incarnation(machine, report);
-    if (says_leaving(machine, report, incarnation) &&
+    if (is_reported_leaving(machine, report, incarnation) &&
         !is_marked(replica, incarnation, inputs.drain_marks)) {
       missing.push_back({replica, incarnation});
     }
--- a/src/controllers/table_claim_registry.cpp
+++ b/src/controllers/table_claim_registry.cpp
@@ -90,19 +90,19 @@
 
 boost::asio::awaitable<core::Result<filters::ClaimAnswer>> TableClaimRegistry::claim(
     filters::ClaimKey key) {
-  auto task = claim_here(std::move(key));
+  auto task = claim_on_control(std::move(key));
   co_return co_await runtime::run_on(control_, std::move(task));
 }
 
 boost::asio::awaitable<core::Result<void>> TableClaimRegistry::record(
     filters::ClaimKey key, core::WriteId claim, filters::RecordedOutcome outcome) {
-  auto task = record_here(std::move(key), std::move(claim), std::move(outcome));
+  auto task = record_on_control(std::move(key), std::move(claim), std::move(outcome));
   co_return co_await runtime::run_on(control_, std::move(task));
 }
 
 boost::asio::awaitable<core::Result<void>> TableClaimRegistry::release(filters::ClaimKey key,
                                                                        core::WriteId claim) {
-  auto task = release_here(std::move(key), std::move(claim));
+  auto task = release_on_control(std::move(key), std::move(claim));
   co_return co_await runtime::run_on(control_, std::move(task));
 }
 
@@ -128,9 +128,9 @@
   co_return stored_claim(answer);
 }
 
-boost::asio::awaitable<void> TableClaimRegistry::drive(ClaimProcess& process,
-                                                       const std::string& row_key,
-                                                       const ClaimRecord& ours) {
+boost::asio::awaitable<void> TableClaimRegistry::run_process(ClaimProcess& process,
+                                                             const std::string& row_key,
+                                                             const ClaimRecord& ours) {
   for (;;) {
     if (process.step() == ClaimStep::kWrite) {
       const auto answer = co_await write(row_key, ours, ours.claim, process.condition());
@@ -165,7 +165,7 @@
   co_return taken;
 }
 
-boost::asio::awaitable<core::Result<filters::ClaimAnswer>> TableClaimRegistry::claim_here(
+boost::asio::awaitable<core::Result<filters::ClaimAnswer>> TableClaimRegistry::claim_on_control(
     filters::ClaimKey key) {
   if (key.idempotency_key.empty() || key.idempotency_key.size() > kMaxKeyBytes) {
     counters_->refused.Increment();
@@ -180,7 +180,7 @@
   }
   const ClaimRecord ours{claim_ids_.next(), key.fingerprint, time_.wall_now(), std::nullopt};
   ClaimProcess process(ours.claim);
-  co_await drive(process, row_key, ours);
+  co_await run_process(process, row_key, ours);
   if (process.may_be_stored()) {
     abandon(row_key, ours.claim);
   }
@@ -198,7 +198,7 @@
   co_return filters::ClaimAnswer(filters::ClaimGranted{ours.claim});
 }
 
-boost::asio::awaitable<core::Result<void>> TableClaimRegistry::record_here(
+boost::asio::awaitable<core::Result<void>> TableClaimRegistry::record_on_control(
     filters::ClaimKey key, core::WriteId claim, filters::RecordedOutcome outcome) {
   const std::string row_key = claim_row_key(key);
   const GrantedClaim* known = granted_.find(row_key);
@@ -245,8 +245,8 @@
   co_return core::Result<void>();
 }
 
-boost::asio::awaitable<core::Result<void>> TableClaimRegistry::release_here(filters::ClaimKey key,
-                                                                            core::WriteId claim) {
+boost::asio::awaitable<core::Result<void>> TableClaimRegistry::release_on_control(
+    filters::ClaimKey key, core::WriteId claim) {
   const std::string row_key = claim_row_key(key);
   const GrantedClaim* known = granted_.find(row_key);
   if (known == nullptr || known->record.claim != claim || known->record.outcome) {
--- a/src/controllers/table_claim_registry.hpp
+++ b/src/controllers/table_claim_registry.hpp
@@ -45,11 +45,12 @@
   struct Counters;
   using ClaimResult = core::Result<filters::ClaimAnswer>;
 
-  boost::asio::awaitable<ClaimResult> claim_here(filters::ClaimKey key);
-  boost::asio::awaitable<core::Result<void>> record_here(filters::ClaimKey key, core::WriteId claim,
-                                                         filters::RecordedOutcome outcome);
-  boost::asio::awaitable<core::Result<void>> release_here(filters::ClaimKey key,
-                                                          core::WriteId claim);
+  boost::asio::awaitable<ClaimResult> claim_on_control(filters::ClaimKey key);
+  boost::asio::awaitable<core::Result<void>> record_on_control(filters::ClaimKey key,
+                                                               core::WriteId claim,
+                                                               filters::RecordedOutcome outcome);
+  boost::asio::awaitable<core::Result<void>> release_on_control(filters::ClaimKey key,
+                                                                core::WriteId claim);
 
   boost::asio::awaitable<core::Result<core::Revision>> write(const std::string& row_key,
                                                              const ClaimRecord& record,
@@ -57,8 +58,8 @@
                                                              core::Revision condition);
   boost::asio::awaitable<core::Result<std::optional<StoredClaim>>> read(
       const std::string& row_key, ports::TablePriority priority);
-  boost::asio::awaitable<void> drive(ClaimProcess& process, const std::string& row_key,
-                                     const ClaimRecord& ours);
+  boost::asio::awaitable<void> run_process(ClaimProcess& process, const std::string& row_key,
+                                           const ClaimRecord& ours);
   boost::asio::awaitable<filters::ClaimTaken> describe(ClaimRecord record,
                                                        std::uint64_t fingerprint);
   boost::asio::awaitable<core::Result<void>> erase(std::string row_key, core::WriteId claim,
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -99,8 +99,8 @@
 void ControlPlane::start() {
   gossip_.start();
   machines_.start();
-  watcher_.add_interest([this](const auto& machines) { return interest(machines); });
-  watcher_.add_interest(
+  watcher_.add_replica_selector([this](const auto& machines) { return interest(machines); });
+  watcher_.add_replica_selector(
       [this](const auto& machines) { return weights_.replicas_of_own_models(machines); });
   watcher_.start();
   routing_.start();
--- a/tests/contract/peer_control_plane_test.cpp
+++ b/tests/contract/peer_control_plane_test.cpp
@@ -93,7 +93,7 @@
                         [] { return std::string("ok"); }});
     register_operator_routes(admin_router_, operators);
     register_drain_peer_route(peer_router_, operators);
-    watcher.add_interest(all_replicas);
+    watcher.add_replica_selector(all_replicas);
     gossip.start();
     machines.start();
     watcher.start();
--- a/tests/system/weights_system_test.cpp
+++ b/tests/system/weights_system_test.cpp
@@ -61,7 +61,7 @@
 
   /// Publishes a version and returns the owner while the swap is in progress: some engines
   /// have the new weights, some do not, and one refuses at first.
-  static std::size_t owner_in_mid_swap(TestCluster& cluster) {
+  static std::size_t start_swap_and_find_owner(TestCluster& cluster) {
     cluster.publish_examples();
     std::optional<std::size_t> holder;
     wait_until("a daemon holds the weights lease", [&] {
@@ -90,7 +90,7 @@
 
   void owner_is_stopped_during_a_swap() {
     TestCluster cluster(slow_swaps());
-    const std::size_t stopped = owner_in_mid_swap(cluster);
+    const std::size_t stopped = start_swap_and_find_owner(cluster);
     for (const char* zone : {"bole-hall", "kaliti-hall", "sululta-hall"}) {
       cluster.set_fault("materials-" + std::string(zone) + "-1", {{"latency_ms", 1500}});
     }
@@ -114,7 +114,7 @@
 
   void owner_is_killed_during_a_swap() {
     TestCluster cluster(slow_swaps());
-    const std::size_t killed = owner_in_mid_swap(cluster);
+    const std::size_t killed = start_swap_and_find_owner(cluster);
     cluster.kill_daemon(killed);
     wait_until_converged(cluster);
     std::optional<std::size_t> successor = owner(cluster);
--- a/tests/unit/controllers/claim_walk_test.cpp
+++ b/tests/unit/controllers/claim_walk_test.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::uint64_t kSchedules = 10'000;
 constexpr int kSteps = 60;
-constexpr std::uint32_t kMostRequests = 8;
+constexpr std::uint32_t kMaxRequests = 8;
 constexpr double kFaultRate = 0.3;
 constexpr std::size_t kKeys = 2;
 
@@ -104,7 +104,7 @@
 
   void take_step() {
     const std::uint64_t choice = random_.uniform(0, 99);
-    if (choice < 15 && requests_ < kMostRequests) {
+    if (choice < 15 && requests_ < kMaxRequests) {
       ++requests_;
       start(*any_daemon(), random_.uniform(0, kKeys - 1));
     } else if (choice < 20) {
--- a/tests/unit/controllers/gossip_walk_test.cpp
+++ b/tests/unit/controllers/gossip_walk_test.cpp
@@ -32,16 +32,16 @@
   return settings;
 }
 
-/// Records the state that each process has shown and reports any reversal.
+/// Records the state that each process has shown and reports random_member reversal.
 class MonotonicityCheck {
  public:
   explicit MonotonicityCheck(std::size_t size) : seen_(size) {}
 
   /// Clears the state of a process that was restarted.
-  void forget(std::size_t observer) { seen_[observer] = GossipRecords(); }
+  void reset_process(std::size_t observer) { seen_[observer] = GossipRecords(); }
 
   /// \return a description of the reversed state, or an empty text
-  std::string look(const GossipSimulation& simulation) {
+  std::string check(const GossipSimulation& simulation) {
     for (std::size_t observer = 0; observer < simulation.size(); ++observer) {
       if (!simulation.running(observer)) {
         continue;
@@ -99,9 +99,9 @@
 };
 
 /// One run with a random schedule of faults and updates, determined by the seed.
-class Walk {
+class RandomRun {
  public:
-  Walk(std::size_t members, std::uint64_t seed)
+  RandomRun(std::size_t members, std::uint64_t seed)
       : simulation_(walk_settings(members, seed)), random_(seed ^ 0x57a1e), check_(members) {}
 
   /// \return a description of the failure, or an empty text
@@ -110,7 +110,7 @@
     core::MonotonicTime next_action = simulation_.now();
     while (simulation_.now() < faults_end) {
       if (simulation_.now() >= next_action) {
-        act();
+        run_random_action();
         next_action += kActionInterval;
       }
       std::string fault = step();
@@ -120,7 +120,7 @@
     }
     end_faults();
     const core::MonotonicTime limit = simulation_.now() + kSettleLimit;
-    while (!settled()) {
+    while (!has_converged()) {
       if (simulation_.now() >= limit) {
         return "no agreement" + disagreement();
       }
@@ -135,13 +135,13 @@
  private:
   std::string step() {
     simulation_.step();
-    return check_.look(simulation_);
+    return check_.check(simulation_);
   }
 
-  std::size_t any() { return random_.uniform(0, simulation_.size() - 1); }
+  std::size_t random_member() { return random_.uniform(0, simulation_.size() - 1); }
 
-  void act() {
-    const std::size_t index = any();
+  void run_random_action() {
+    const std::size_t index = random_member();
     switch (random_.uniform(0, 11)) {
       case 0:
         simulation_.freeze(index);
@@ -163,7 +163,7 @@
         simulation_.set_loss(random_.fraction() * 0.4);
         return;
       default:
-        tell_news(index);
+        announce_updates(index);
     }
   }
 
@@ -171,7 +171,7 @@
     if (simulation_.running(index)) {
       return;
     }
-    check_.forget(index);
+    check_.reset_process(index);
     if (random_.chance(0.2)) {
       simulation_.restart(index, 1);  // its clock is behind that of its predecessor
     } else {
@@ -179,7 +179,7 @@
     }
   }
 
-  void tell_news(std::size_t index) {
+  void announce_updates(std::size_t index) {
     if (!simulation_.running(index) || simulation_.frozen(index)) {
       return;
     }
@@ -189,7 +189,7 @@
         state.announce_leaving();
         return;
       case 1:
-        state.mark_leaving(GossipSimulation::node_name(any()));
+        state.mark_leaving(GossipSimulation::node_name(random_member()));
         return;
       case 2:
         state.announce_configuration(core::Revision(++revision_));
@@ -214,7 +214,7 @@
     restart(0);
   }
 
-  bool settled() const {
+  bool has_converged() const {
     if (!simulation_.converged()) {
       return false;
     }
@@ -269,7 +269,7 @@
                std::size_t most) {
   for (std::uint64_t seed = first_seed; seed < first_seed + count; ++seed) {
     const std::size_t members = fewest + seed % (most - fewest + 1);
-    const std::string fault = Walk(members, seed).run();
+    const std::string fault = RandomRun(members, seed).run();
     const std::string replay = "STONEPORT_GOSSIP_SEED=" + std::to_string(seed) +
                                " STONEPORT_GOSSIP_MEMBERS=" + std::to_string(members) + ": ";
     CPPUNIT_ASSERT_MESSAGE(replay + fault, fault.empty());
--- a/tests/unit/controllers/weights_rollout_test.cpp
+++ b/tests/unit/controllers/weights_rollout_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of weight rollouts in virtual time, with simulated engines whose orders take time,
+/// Tests of weight rollouts in virtual time, with simulated engines whose orders execute time,
 /// fail or are lost.
 #include "controllers/weights_rollout.hpp"
 
@@ -29,7 +29,7 @@
   std::optional<std::pair<core::MonotonicTime, core::WeightVersion>> loading;
   std::vector<std::pair<core::MonotonicTime, ReplicaWeights>> history;
 
-  void take(const ports::EngineOrder& order, core::MonotonicTime now) {
+  void execute(const ports::EngineOrder& order, core::MonotonicTime now) {
     if (const auto* prefetch = std::get_if<ports::PrefetchVersion>(&order)) {
       fetching = {now + fetch_time, prefetch->version};
     }
@@ -67,9 +67,10 @@
   }
 };
 
-class World {
+class RolloutSimulation {
  public:
-  World(std::size_t engines, RolloutSettings settings) : rollout(settings), engines_(engines) {
+  RolloutSimulation(std::size_t engines, RolloutSettings settings)
+      : rollout(settings), engines_(engines) {
     for (std::size_t index = 0; index < engines; ++index) {
       engines_[index].truth.replica = core::ReplicaId("engine-" + std::to_string(index));
       engines_[index].truth.incarnation = core::Incarnation(1);
@@ -77,7 +78,7 @@
     }
   }
 
-  void aim(std::uint64_t version) {
+  void set_target_version(std::uint64_t version) {
     rollout.set_target({core::PolicyName("policy"), core::WeightVersion(version), 1'000, 10'000});
   }
   void step() {
@@ -94,13 +95,13 @@
         rollout.on_order_failed(order.replica);
         continue;
       }
-      find(order.replica).take(order.order, now);
+      find(order.replica).execute(order.order, now);
     }
     std::uint32_t fetching = 0;
     for (const SimulatedEngine& engine : engines_) {
       fetching += engine.fetching ? 1 : 0;
     }
-    most_fetching = std::max(most_fetching, fetching);
+    max_concurrent_fetches = std::max(max_concurrent_fetches, fetching);
   }
   bool run_until_all_at(std::uint64_t version, core::Duration limit) {
     const core::MonotonicTime end = now + limit;
@@ -122,7 +123,7 @@
   WeightsRollout rollout;
   core::MonotonicTime now{1h};
   std::uint32_t lost_orders = 0;
-  std::uint32_t most_fetching = 0;
+  std::uint32_t max_concurrent_fetches = 0;
   std::vector<core::MonotonicTime> prefetch_times;
   std::vector<core::MonotonicTime> load_times;
   std::set<std::uint64_t> loaded_versions;
@@ -162,7 +163,7 @@
 
  public:
   void nothing_is_ordered_without_a_target() {
-    World world(2, {});
+    RolloutSimulation world(2, {});
     world.step();
     CPPUNIT_ASSERT(world.load_times.empty() && world.prefetch_times.empty());
   }
@@ -170,19 +171,19 @@
   void all_prefetch_within_the_limit_and_then_switch_together() {
     RolloutSettings settings;
     settings.parallel_prefetches = 3;
-    World world(9, settings);
-    world.aim(2);
+    RolloutSimulation world(9, settings);
+    world.set_target_version(2);
     CPPUNIT_ASSERT(world.run_until_all_at(2, 60s));
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, world.most_fetching);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, world.max_concurrent_fetches);
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, world.load_times.size());
     CPPUNIT_ASSERT(world.load_times.front() == world.load_times.back());
     CPPUNIT_ASSERT(world.prefetch_times.back() < world.load_times.front());
   }
 
   void one_engine_that_cannot_prefetch_does_not_block_the_others() {
-    World world(3, {});
+    RolloutSimulation world(3, {});
     world.engine(1).fetch_time = 1000s;
-    world.aim(2);
+    world.set_target_version(2);
     const core::MonotonicTime start = world.now;
     while (world.load_times.size() < 3 && world.now - start < 60s) {
       world.step();
@@ -192,17 +193,17 @@
   }
 
   void a_failed_swap_is_ordered_again() {
-    World world(4, {});
+    RolloutSimulation world(4, {});
     world.engine(2).failing_swaps = 2;
-    world.aim(2);
+    world.set_target_version(2);
     CPPUNIT_ASSERT(world.run_until_all_at(2, 60s));
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, world.engine(2).loads);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, world.engine(0).loads);
   }
 
   void a_restarted_engine_with_old_weights_is_updated() {
-    World world(3, {});
-    world.aim(2);
+    RolloutSimulation world(3, {});
+    world.set_target_version(2);
     CPPUNIT_ASSERT(world.run_until_all_at(2, 60s));
     world.engine(0).truth.version = core::WeightVersion(0);
     world.engine(0).truth.prefetched = core::WeightVersion(0);
@@ -212,35 +213,35 @@
   }
 
   void an_unusable_engine_gets_no_order() {
-    World world(3, {});
+    RolloutSimulation world(3, {});
     world.engine(1).truth.usable = false;
-    world.aim(2);
+    world.set_target_version(2);
     CPPUNIT_ASSERT(world.run_until_all_at(2, 60s));
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, world.engine(1).loads);
   }
 
   void a_newer_target_replaces_an_older_one_but_not_vice_versa() {
-    World world(3, {});
-    world.aim(2);
+    RolloutSimulation world(3, {});
+    world.set_target_version(2);
     world.step();
-    world.aim(3);
-    world.aim(2);
+    world.set_target_version(3);
+    world.set_target_version(2);
     CPPUNIT_ASSERT(world.run_until_all_at(3, 60s));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.loaded_versions.size());
-    world.aim(1);
+    world.set_target_version(1);
     world.step();
     CPPUNIT_ASSERT(world.rollout.target().version == core::WeightVersion(3));
   }
 
   void a_new_owner_continues_from_the_reports() {
-    World world(4, {});
-    world.aim(2);
+    RolloutSimulation world(4, {});
+    world.set_target_version(2);
     while (world.load_times.empty()) {
       world.step();
     }
     const std::size_t prefetches = world.prefetch_times.size();
     world.rollout = WeightsRollout(RolloutSettings{});
-    world.aim(2);
+    world.set_target_version(2);
     CPPUNIT_ASSERT(world.run_until_all_at(2, 60s));
     CPPUNIT_ASSERT_EQUAL(prefetches, world.prefetch_times.size());
   }
@@ -276,7 +277,7 @@
       settings.parallel_prefetches = 3;
       settings.max_parallel_prefetches = one.most;
       settings.target_transfer_time = one.target_transfer_time;
-      World world(20, settings);
+      RolloutSimulation world(20, settings);
       world.rollout.set_target({core::PolicyName("policy"), core::WeightVersion(2), one.size_bytes,
                                 one.bytes_per_second});
       world.step();
@@ -292,14 +293,14 @@
     settings.max_parallel_prefetches = 600;
     settings.target_transfer_time = 4s;
     settings.switch_order = SwitchOrder::kAsReady;
-    World world(20, settings);
+    RolloutSimulation world(20, settings);
     world.engine(7).fetch_time = 1000s;
-    world.aim(2);
+    world.set_target_version(2);
     const core::MonotonicTime start = world.now;
     while (world.load_times.size() < 19 && world.now - start < 60s) {
       world.step();
     }
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, world.most_fetching);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, world.max_concurrent_fetches);
     CPPUNIT_ASSERT_EQUAL(std::size_t{19}, world.load_times.size());
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, world.engine(7).loads);
     CPPUNIT_ASSERT(world.load_times.back() - start < 5s);
@@ -310,20 +311,20 @@
     for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
       core::RandomSource random(seed);
       const std::size_t engines = random.uniform(1, 8);
-      World world(engines, {});
+      RolloutSimulation world(engines, {});
       world.lost_orders = static_cast<std::uint32_t>(random.uniform(0, 4));
       for (std::size_t index = 0; index < engines; ++index) {
         world.engine(index).failing_swaps = static_cast<std::uint32_t>(random.uniform(0, 2));
         world.engine(index).fetch_time = core::from_seconds(random.exponential(3));
         world.engine(index).swap_time = core::from_seconds(random.exponential(2));
       }
-      world.aim(2);
+      world.set_target_version(2);
       const bool interrupted = random.chance(0.5);
       if (interrupted) {
         for (std::uint64_t steps = random.uniform(0, 40); steps > 0; --steps) {
           world.step();
         }
-        world.aim(3);
+        world.set_target_version(3);
       }
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed),
                              world.run_until_all_at(interrupted ? 3 : 2, 300s));
