--- a/src/controllers/operator_configuration_routes.cpp
+++ b/src/controllers/operator_configuration_routes.cpp
@@ -81,8 +81,8 @@
   co_return ok({{"publications", std::move(publications)}});
 }
 
-/// \return the document as published at \p revision, or the one in force without
-/// a revision; a record without a document where none is in force.
+/// \return the document as published at \p revision, or the one in force if no revision is
+/// given; a record without a document if none is in force
 asio::awaitable<core::Result<DocumentRecord>> record_at(ConfigurationController& controller,
                                                         DocumentKey key,
                                                         std::optional<core::Revision> revision) {
@@ -135,13 +135,13 @@
   co_return outcome_response(outcome);
 }
 
-/// \return the whole in force with \p documents put in their places.
-config::ConfigurationRecord overlay(config::ConfigurationRecord whole,
+/// \return the configuration in force with \p documents replaced or added
+config::ConfigurationRecord overlay(config::ConfigurationRecord configuration,
                                     const std::vector<config::Document>& documents) {
   for (const config::Document& document : documents) {
-    whole.documents[key_of(document)].document = write_document(document);
+    configuration.documents[key_of(document)].document = write_document(document);
   }
-  return whole;
+  return configuration;
 }
 
 nlohmann::json describe_changes(const config::ConfigurationRecord& in_force,
@@ -163,9 +163,10 @@
   if (input.has_error()) {
     co_return problems_response(input.error());
   }
-  const auto whole = config::build_configuration(overlay(controller.record(), input->documents));
-  if (whole.has_error()) {
-    append(input->problems, whole.error());
+  const auto configuration =
+      config::build_configuration(overlay(controller.record(), input->documents));
+  if (configuration.has_error()) {
+    append(input->problems, configuration.error());
   }
   if (!input->problems.empty()) {
     co_return problems_response(input->problems);
@@ -189,7 +190,7 @@
                 {"missing", std::move(missing)}});
 }
 
-/// Adds one route whose handler runs on the control thread.
+/// Adds a route whose handler runs on the control thread.
 void add(http::Router& router, ConfigurationController& controller, const char* method,
          const std::string& pattern, DocumentGroup group, Handler handler) {
   router.add(method, pattern, [&controller, group, handler](http::RoutedRequest request) {
--- a/src/controllers/replica_watcher.hpp
+++ b/src/controllers/replica_watcher.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// Polls the replicas that rendezvous hashing gives to this daemon, two daemons
-/// per replica, and exchanges what was read with the other daemons. Owned by
-/// the control thread.
+/// Polls the replicas that rendezvous hashing assigns to this daemon, with two daemons per
+/// replica, and exchanges the reports with other daemons. Owned by the control thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -24,8 +23,9 @@
 
 class ReplicaWatcher {
  public:
-  /// Which replicas this daemon routes to, out of the machine list.
-  using Interest = std::function<std::vector<core::ReplicaId>(const std::vector<ports::Machine>&)>;
+  /// Selects the replicas from the machine list whose reports this daemon needs.
+  using ReplicaSelector =
+      std::function<std::vector<core::ReplicaId>(const std::vector<ports::Machine>&)>;
 
   ReplicaWatcher(boost::asio::any_io_executor executor, MachineListController& machines,
                  GossipController& gossip, ports::ModelEngineFactory& engines, http::Client& client,
@@ -33,15 +33,15 @@
                  core::Metrics& metrics);
   ~ReplicaWatcher();
 
-  /// Asks for reports of what \p interest names, beside what others name.
-  void add_interest(Interest interest) { interests_.push_back(std::move(interest)); }
+  /// Adds a selector; reports are requested for the union of all selectors.
+  void add_replica_selector(ReplicaSelector selector) { selectors_.push_back(std::move(selector)); }
   void start();
   void stop() { alive_.reset(); }
 
   const ReplicaReports& reports() const { return reports_; }
-  /// \return the replicas that this daemon polls itself.
+  /// \return the replicas that this daemon polls itself
   std::vector<core::ReplicaId> watched() const;
-  /// Calls \p listener after each report taken in.
+  /// Registers \p listener, which is called after each accepted report.
   void on_change(std::function<void()> listener) { listeners_.push_back(std::move(listener)); }
 
  private:
@@ -60,9 +60,10 @@
       std::shared_ptr<Watch> watch);
   boost::asio::awaitable<core::Result<wire::ReplicaReport>> read_service(
       std::shared_ptr<Watch> watch);
-  void choose_watches();
+  void update_watches();
   void finish_poll(Watch& watch, const core::Result<wire::ReplicaReport>& outcome);
-  void take(const core::NodeId& watcher, wire::ReplicaReport report, core::MonotonicTime taken_at);
+  void accept_report(const core::NodeId& watcher, wire::ReplicaReport report,
+                     core::MonotonicTime taken_at);
   void receive(const ReceivedMessage& received);
   void push_digests();
   void subscribe();
@@ -76,13 +77,13 @@
   ReplicaWatcherSettings settings_;
   const core::TimeSource& time_;
   std::unique_ptr<Meters> meters_;
-  std::vector<Interest> interests_;
+  std::vector<ReplicaSelector> selectors_;
   std::map<core::ReplicaId, std::shared_ptr<Watch>> watches_;
   std::map<core::ReplicaId, TimedReport> own_reports_;
   ReplicaReports reports_;
   DigestPublisher publisher_;
   DigestSubscriber subscriber_;
-  bool choice_is_stale_ = true;
+  bool watches_are_stale_ = true;
   std::vector<std::function<void()>> listeners_;
   std::shared_ptr<bool> alive_;
 };
--- a/src/controllers/table_claim_registry.cpp
+++ b/src/controllers/table_claim_registry.cpp
@@ -10,12 +10,12 @@
 using ports::TablePriority;
 
 constexpr const char* kTable = "claims";
-constexpr std::size_t kMostGranted = 4096;
-constexpr std::size_t kMostAbandoned = 1024;
-constexpr std::size_t kLongestKey = 512;
+constexpr std::size_t kMaxGrantedClaims = 4096;
+constexpr std::size_t kMaxAbandonedClaims = 1024;
+constexpr std::size_t kMaxKeyBytes = 512;
 constexpr core::Duration kReleaseInterval = std::chrono::seconds(2);
-/// Longer than any request to the store is kept on its way.
-constexpr core::Duration kAbandonedMemory = std::chrono::minutes(10);
+/// Longer than any request to the store can remain in flight.
+constexpr core::Duration kAbandonedClaimRetention = std::chrono::minutes(10);
 
 core::Result<std::optional<StoredClaim>> stored_claim(
     const core::Result<std::optional<ports::Row>>& answer) {
@@ -40,13 +40,13 @@
   return stored;
 }
 
-/// \return whether the body can stand in the row itself.
+/// \return whether the body can be stored in the row itself
 bool fits_row(const StoredOutcome& outcome) {
-  return outcome.body.size() <= kMostInlineBytes && core::is_utf8(outcome.body);
+  return outcome.body.size() <= kMaxInlineBytes && core::is_utf8(outcome.body);
 }
 
 core::Error claim_lost() {
-  return core::make_error(ErrorCode::kConflict, "the claim is not in force any more");
+  return core::make_error(ErrorCode::kConflict, "the claim is no longer valid");
 }
 
 }  // namespace
@@ -54,12 +54,12 @@
 struct TableClaimRegistry::Counters {
   explicit Counters(core::Metrics& metrics) : metrics_(metrics) {}
   prometheus::Counter& claim(const char* end) {
-    return metrics_.counter("stoneport_claims_total", "Claims of idempotency keys by end",
+    return metrics_.counter("stoneport_claims_total", "Claims of idempotency keys, by outcome",
                             {{"end", end}});
   }
   prometheus::Counter& abandoned(const char* event) {
     return metrics_.counter("stoneport_claims_abandoned_total",
-                            "Claims that were never sent under, by event", {{"event", event}});
+                            "Claims under which no request was sent, by event", {{"event", event}});
   }
   core::Metrics& metrics_;
   prometheus::Counter& granted = claim("granted");
@@ -82,27 +82,27 @@
       time_(time),
       claim_ids_("claim", node, incarnation),
       write_ids_("claim-change", node, incarnation),
-      granted_(kMostGranted),
-      abandoned_(kMostAbandoned),
+      granted_(kMaxGrantedClaims),
+      abandoned_(kMaxAbandonedClaims),
       counters_(std::make_unique<Counters>(metrics)) {}
 
 TableClaimRegistry::~TableClaimRegistry() = default;
 
 boost::asio::awaitable<core::Result<filters::ClaimAnswer>> TableClaimRegistry::claim(
     filters::ClaimKey key) {
-  auto task = claim_here(std::move(key));
+  auto task = claim_on_control(std::move(key));
   co_return co_await runtime::run_on(control_, std::move(task));
 }
 
 boost::asio::awaitable<core::Result<void>> TableClaimRegistry::record(
     filters::ClaimKey key, core::WriteId claim, filters::RecordedOutcome outcome) {
-  auto task = record_here(std::move(key), std::move(claim), std::move(outcome));
+  auto task = record_on_control(std::move(key), std::move(claim), std::move(outcome));
   co_return co_await runtime::run_on(control_, std::move(task));
 }
 
 boost::asio::awaitable<core::Result<void>> TableClaimRegistry::release(filters::ClaimKey key,
                                                                        core::WriteId claim) {
-  auto task = release_here(std::move(key), std::move(claim));
+  auto task = release_on_control(std::move(key), std::move(claim));
   co_return co_await runtime::run_on(control_, std::move(task));
 }
 
@@ -128,9 +128,9 @@
   co_return stored_claim(answer);
 }
 
-boost::asio::awaitable<void> TableClaimRegistry::drive(ClaimProcess& process,
-                                                       const std::string& row_key,
-                                                       const ClaimRecord& ours) {
+boost::asio::awaitable<void> TableClaimRegistry::run_process(ClaimProcess& process,
+                                                             const std::string& row_key,
+                                                             const ClaimRecord& ours) {
   for (;;) {
     if (process.step() == ClaimStep::kWrite) {
       const auto answer = co_await write(row_key, ours, ours.claim, process.condition());
@@ -165,9 +165,9 @@
   co_return taken;
 }
 
-boost::asio::awaitable<core::Result<filters::ClaimAnswer>> TableClaimRegistry::claim_here(
+boost::asio::awaitable<core::Result<filters::ClaimAnswer>> TableClaimRegistry::claim_on_control(
     filters::ClaimKey key) {
-  if (key.idempotency_key.empty() || key.idempotency_key.size() > kLongestKey) {
+  if (key.idempotency_key.empty() || key.idempotency_key.size() > kMaxKeyBytes) {
     counters_->refused.Increment();
     co_return core::make_error(ErrorCode::kInvalidArgument,
                                "an idempotency key has 1 to 512 bytes");
@@ -180,7 +180,7 @@
   }
   const ClaimRecord ours{claim_ids_.next(), key.fingerprint, time_.wall_now(), std::nullopt};
   ClaimProcess process(ours.claim);
-  co_await drive(process, row_key, ours);
+  co_await run_process(process, row_key, ours);
   if (process.may_be_stored()) {
     abandon(row_key, ours.claim);
   }
@@ -198,7 +198,7 @@
   co_return filters::ClaimAnswer(filters::ClaimGranted{ours.claim});
 }
 
-boost::asio::awaitable<core::Result<void>> TableClaimRegistry::record_here(
+boost::asio::awaitable<core::Result<void>> TableClaimRegistry::record_on_control(
     filters::ClaimKey key, core::WriteId claim, filters::RecordedOutcome outcome) {
   const std::string row_key = claim_row_key(key);
   const GrantedClaim* known = granted_.find(row_key);
@@ -245,8 +245,8 @@
   co_return core::Result<void>();
 }
 
-boost::asio::awaitable<core::Result<void>> TableClaimRegistry::release_here(filters::ClaimKey key,
-                                                                            core::WriteId claim) {
+boost::asio::awaitable<core::Result<void>> TableClaimRegistry::release_on_control(
+    filters::ClaimKey key, core::WriteId claim) {
   const std::string row_key = claim_row_key(key);
   const GrantedClaim* known = granted_.find(row_key);
   if (known == nullptr || known->record.claim != claim || known->record.outcome) {
@@ -277,7 +277,7 @@
 
 boost::asio::awaitable<void> TableClaimRegistry::release_abandoned() {
   const core::MonotonicTime now = time_.now();
-  const std::size_t old = abandoned_.remove_older_than(now - kAbandonedMemory);
+  const std::size_t old = abandoned_.remove_older_than(now - kAbandonedClaimRetention);
   counters_->forgotten.Increment(static_cast<double>(old));
   for (const AbandonedClaim& abandoned : abandoned_.take_due(now)) {
     co_await release_one(abandoned);
--- a/src/controllers/table_claim_registry.hpp
+++ b/src/controllers/table_claim_registry.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Claims of idempotency keys as rows of the table service. Called from any
-/// thread; all state and all store calls are on the control thread.
-/// docs/design/claims.md
+/// Claims idempotency keys through rows of the table service. May be called from any
+/// thread; all state and all store calls are on the control thread. See
+/// docs/design/claims.md.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -19,9 +19,9 @@
 
 class TableClaimRegistry : public filters::ClaimRegistry {
  public:
-  /// \p table, \p objects and \p time outlive the registry and live on the thread
-  /// of \p control.
-  /// \param incarnation differs from that of every earlier process of \p node
+  /// \param control runs on the thread of \p table, \p objects and \p time, which must
+  /// outlive the registry
+  /// \param incarnation must differ from that of every earlier process of \p node
   TableClaimRegistry(boost::asio::any_io_executor control, ports::TableService& table,
                      ports::ObjectStore& objects, const core::TimeSource& time,
                      const core::NodeId& node, core::Incarnation incarnation,
@@ -34,22 +34,23 @@
   boost::asio::awaitable<core::Result<void>> release(filters::ClaimKey key,
                                                      core::WriteId claim) override;
 
-  /// Releases abandoned claims every few seconds until stop(). Start once, on
-  /// the control thread.
+  /// Releases abandoned claims every few seconds until stop(). Start once, on the control
+  /// thread.
   boost::asio::awaitable<void> run();
   void stop() { stopping_ = true; }
-  /// One pass over the abandoned claims; control thread only.
+  /// Processes the abandoned claims that are due; control thread only.
   boost::asio::awaitable<void> release_abandoned();
 
  private:
   struct Counters;
   using ClaimResult = core::Result<filters::ClaimAnswer>;
 
-  boost::asio::awaitable<ClaimResult> claim_here(filters::ClaimKey key);
-  boost::asio::awaitable<core::Result<void>> record_here(filters::ClaimKey key, core::WriteId claim,
-                                                         filters::RecordedOutcome outcome);
-  boost::asio::awaitable<core::Result<void>> release_here(filters::ClaimKey key,
-                                                          core::WriteId claim);
+  boost::asio::awaitable<ClaimResult> claim_on_control(filters::ClaimKey key);
+  boost::asio::awaitable<core::Result<void>> record_on_control(filters::ClaimKey key,
+                                                               core::WriteId claim,
+                                                               filters::RecordedOutcome outcome);
+  boost::asio::awaitable<core::Result<void>> release_on_control(filters::ClaimKey key,
+                                                                core::WriteId claim);
 
   boost::asio::awaitable<core::Result<core::Revision>> write(const std::string& row_key,
                                                              const ClaimRecord& record,
@@ -57,8 +58,8 @@
                                                              core::Revision condition);
   boost::asio::awaitable<core::Result<std::optional<StoredClaim>>> read(
       const std::string& row_key, ports::TablePriority priority);
-  boost::asio::awaitable<void> drive(ClaimProcess& process, const std::string& row_key,
-                                     const ClaimRecord& ours);
+  boost::asio::awaitable<void> run_process(ClaimProcess& process, const std::string& row_key,
+                                           const ClaimRecord& ours);
   boost::asio::awaitable<filters::ClaimTaken> describe(ClaimRecord record,
                                                        std::uint64_t fingerprint);
   boost::asio::awaitable<core::Result<void>> erase(std::string row_key, core::WriteId claim,
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -42,8 +42,8 @@
   controllers::RolloutSettings rollout;
   rollout.switch_order = controllers::SwitchOrder::kAsReady;
   rollout.parallel_prefetches = 3;
-  rollout.most_parallel_prefetches = 600;
-  rollout.short_transfer = std::chrono::seconds(4);
+  rollout.max_parallel_prefetches = 600;
+  rollout.target_transfer_time = std::chrono::seconds(4);
   return rollout;
 }
 
@@ -99,8 +99,8 @@
 void ControlPlane::start() {
   gossip_.start();
   machines_.start();
-  watcher_.add_interest([this](const auto& machines) { return interest(machines); });
-  watcher_.add_interest(
+  watcher_.add_replica_selector([this](const auto& machines) { return interest(machines); });
+  watcher_.add_replica_selector(
       [this](const auto& machines) { return weights_.replicas_of_own_models(machines); });
   watcher_.start();
   routing_.start();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -437,7 +437,7 @@
 }
 
 bool Node::can_reach_others() const {
-  return node::can_reach_others(gossip_.answer_silence());
+  return node::can_reach_others(gossip_.time_since_last_answer());
 }
 
 bool Node::has_other_ready_member() const {
--- a/tests/unit/controllers/gossip_walk_test.cpp
+++ b/tests/unit/controllers/gossip_walk_test.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// Seeded random walks of whole clusters over loss, cuts, freezes, crashes,
-/// restarts and marks, in virtual time. While the walk goes on, nothing that is
-/// meant to stick may turn back; when the faults end, all must agree. A failing
-/// seed is printed; STONEPORT_GOSSIP_SEED=seed runs that one walk alone, with
-/// STONEPORT_GOSSIP_MEMBERS for its size.
+/// Randomized test of whole clusters in virtual time, reproducible from its seed: packet
+/// loss, partitions, freezes, crashes, restarts and drain marks. During the run, state that
+/// must be permanent may not revert; when the faults end, all members must converge. A
+/// failing seed is printed. STONEPORT_GOSSIP_SEED=seed replays only that run, with
+/// STONEPORT_GOSSIP_MEMBERS setting its size.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -26,22 +26,22 @@
   settings.seed = seed;
   settings.tick = std::chrono::milliseconds(200);
   settings.latency = std::chrono::milliseconds(3);
-  settings.gossip.shortest_suspicion = std::chrono::seconds(2);
+  settings.gossip.min_suspicion_timeout = std::chrono::seconds(2);
   settings.gossip.reconnect_interval = std::chrono::seconds(2);
   settings.gossip.sync_interval = std::chrono::seconds(5);
   return settings;
 }
 
-/// Remembers what each process has shown, and says what turned back.
-class StickyCheck {
+/// Records the state that each process has shown and reports random_member reversal.
+class MonotonicityCheck {
  public:
-  explicit StickyCheck(std::size_t size) : seen_(size) {}
+  explicit MonotonicityCheck(std::size_t size) : seen_(size) {}
 
-  /// A restarted process has shown nothing yet.
-  void forget(std::size_t observer) { seen_[observer] = GossipRecords(); }
+  /// Clears the state of a process that was restarted.
+  void reset_process(std::size_t observer) { seen_[observer] = GossipRecords(); }
 
-  /// \return what turned back, or nothing.
-  std::string look(const GossipSimulation& simulation) {
+  /// \return a description of the reversed state, or an empty text
+  std::string check(const GossipSimulation& simulation) {
     for (std::size_t observer = 0; observer < simulation.size(); ++observer) {
       if (!simulation.running(observer)) {
         continue;
@@ -98,19 +98,19 @@
   std::vector<GossipRecords> seen_;
 };
 
-/// One walk: a schedule of faults and news drawn from one seed.
-class Walk {
+/// One run with a random schedule of faults and updates, determined by the seed.
+class RandomRun {
  public:
-  Walk(std::size_t members, std::uint64_t seed)
+  RandomRun(std::size_t members, std::uint64_t seed)
       : simulation_(walk_settings(members, seed)), random_(seed ^ 0x57a1e), check_(members) {}
 
-  /// \return what went wrong, or nothing.
+  /// \return a description of the failure, or an empty text
   std::string run() {
     const core::MonotonicTime faults_end = simulation_.now() + kFaultTime;
     core::MonotonicTime next_action = simulation_.now();
     while (simulation_.now() < faults_end) {
       if (simulation_.now() >= next_action) {
-        act();
+        run_random_action();
         next_action += kActionInterval;
       }
       std::string fault = step();
@@ -120,7 +120,7 @@
     }
     end_faults();
     const core::MonotonicTime limit = simulation_.now() + kSettleLimit;
-    while (!settled()) {
+    while (!has_converged()) {
       if (simulation_.now() >= limit) {
         return "no agreement" + disagreement();
       }
@@ -135,13 +135,13 @@
  private:
   std::string step() {
     simulation_.step();
-    return check_.look(simulation_);
+    return check_.check(simulation_);
   }
 
-  std::size_t any() { return random_.uniform(0, simulation_.size() - 1); }
+  std::size_t random_member() { return random_.uniform(0, simulation_.size() - 1); }
 
-  void act() {
-    const std::size_t index = any();
+  void run_random_action() {
+    const std::size_t index = random_member();
     switch (random_.uniform(0, 11)) {
       case 0:
         simulation_.freeze(index);
@@ -163,7 +163,7 @@
         simulation_.set_loss(random_.fraction() * 0.4);
         return;
       default:
-        tell_news(index);
+        announce_updates(index);
     }
   }
 
@@ -171,15 +171,15 @@
     if (simulation_.running(index)) {
       return;
     }
-    check_.forget(index);
+    check_.reset_process(index);
     if (random_.chance(0.2)) {
-      simulation_.restart(index, 1);  // its clock is behind its predecessor's
+      simulation_.restart(index, 1);  // its clock is behind that of its predecessor
     } else {
       simulation_.restart(index);
     }
   }
 
-  void tell_news(std::size_t index) {
+  void announce_updates(std::size_t index) {
     if (!simulation_.running(index) || simulation_.frozen(index)) {
       return;
     }
@@ -189,7 +189,7 @@
         state.announce_leaving();
         return;
       case 1:
-        state.mark_leaving(GossipSimulation::node_name(any()));
+        state.mark_leaving(GossipSimulation::node_name(random_member()));
         return;
       case 2:
         state.announce_configuration(core::Revision(++revision_));
@@ -210,11 +210,11 @@
       simulation_.set_group(index, 0);
       simulation_.wake(index);
     }
-    // A seed must be there for newcomers to find.
+    // A seed member must be running for new members to join.
     restart(0);
   }
 
-  bool settled() const {
+  bool has_converged() const {
     if (!simulation_.converged()) {
       return false;
     }
@@ -261,7 +261,7 @@
 
   GossipSimulation simulation_;
   core::RandomSource random_;
-  StickyCheck check_;
+  MonotonicityCheck check_;
   std::uint64_t revision_ = 0;
 };
 
@@ -269,7 +269,7 @@
                std::size_t most) {
   for (std::uint64_t seed = first_seed; seed < first_seed + count; ++seed) {
     const std::size_t members = fewest + seed % (most - fewest + 1);
-    const std::string fault = Walk(members, seed).run();
+    const std::string fault = RandomRun(members, seed).run();
     const std::string replay = "STONEPORT_GOSSIP_SEED=" + std::to_string(seed) +
                                " STONEPORT_GOSSIP_MEMBERS=" + std::to_string(members) + ": ";
     CPPUNIT_ASSERT_MESSAGE(replay + fault, fault.empty());
@@ -285,7 +285,7 @@
 class GossipWalkTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GossipWalkTest);
   CPPUNIT_TEST(small_clusters);
-  CPPUNIT_TEST(middling_clusters);
+  CPPUNIT_TEST(medium_clusters);
   CPPUNIT_TEST(large_clusters);
   CPPUNIT_TEST_SUITE_END();
 
@@ -299,7 +299,7 @@
     }
     run_walks(1, 10'000, 3, 5);
   }
-  void middling_clusters() { run_walks(20'001, 100, 6, 12); }
+  void medium_clusters() { run_walks(20'001, 100, 6, 12); }
   void large_clusters() { run_walks(30'001, 5, 48, 50); }
 };
 
