--- a/src/bench/simulation/rollout_daemon.hpp
+++ b/src/bench/simulation/rollout_daemon.hpp
@@ -40,7 +40,7 @@
   /// The trainer's current version became \p version.
   void observe(core::WeightVersion version);
   rollout::AgeRule age_rule(std::uint32_t bound) const { return {current_, bound}; }
-  const rollout::PublicationRhythm& rhythm() const { return rhythm_; }
+  const rollout::PublicationRate& publication_rate() const { return rhythm_; }
 
   /// \return the engine for a sample, or nothing: ask again later.
   std::optional<std::size_t> place(const PlacementQuestion& question, const rollout::AgeRule& rule,
@@ -100,8 +100,8 @@
   std::vector<std::size_t> group_;
   RunMetrics& metrics_;
   core::WeightVersion current_{1};
-  rollout::PublicationRhythm rhythm_;
-  rollout::PublicationRhythm unknown_rhythm_;  ///< for variants that do not predict
+  rollout::PublicationRate rhythm_;
+  rollout::PublicationRate unknown_rhythm_;  ///< for variants that do not predict
   std::unique_ptr<routing::ReplicaChooser> chooser_;
   routing::ReplicaLoads loads_;
   std::vector<std::uint32_t> in_flight_;  ///< own streams, by engine
--- a/src/bench/simulation/simulated_step.cpp
+++ b/src/bench/simulation/simulated_step.cpp
@@ -126,7 +126,7 @@
   if (!daemon_.variant().prediction || wanted.empty()) {
     return wanted;
   }
-  return rollout::order_of_start(std::move(wanted), group_progress(), usual_length_);
+  return rollout::order_by_expected_length(std::move(wanted), group_progress(), usual_length_);
 }
 
 std::vector<rollout::GroupProgress> SimulatedStep::group_progress() const {
--- a/src/controllers/event_warm_up_controller.cpp
+++ b/src/controllers/event_warm_up_controller.cpp
@@ -118,9 +118,9 @@
   return rollout::decide_warm_up(input);
 }
 
-std::vector<rollout::EngineWarmth> EventWarmUpController::engines_of(
+std::vector<rollout::EngineReadiness> EventWarmUpController::engines_of(
     const core::ModelName& model) const {
-  std::vector<rollout::EngineWarmth> engines;
+  std::vector<rollout::EngineReadiness> engines;
   const auto table = inputs_.routing();
   const auto found = table->models.find(model);
   if (found == table->models.end()) {
@@ -130,7 +130,7 @@
     if (!takes_work(replica)) {
       continue;
     }
-    rollout::EngineWarmth engine{replica.id, replica.address, std::nullopt};
+    rollout::EngineReadiness engine{replica.id, replica.address, std::nullopt};
     if (replica.digest) {
       engine.version = replica.digest->version;
     }
--- a/src/controllers/event_warm_up_controller.hpp
+++ b/src/controllers/event_warm_up_controller.hpp
@@ -54,7 +54,7 @@
   boost::asio::awaitable<void> run(std::weak_ptr<bool> alive);
   rollout::WarmUpDecision decide(const config::Configuration& configuration,
                                  const config::Configuration::Event& event) const;
-  std::vector<rollout::EngineWarmth> engines_of(const core::ModelName& model) const;
+  std::vector<rollout::EngineReadiness> engines_of(const core::ModelName& model) const;
   std::size_t daemons_behind(core::Revision revision) const;
   void note_state(const core::EventName& event, const rollout::WarmUpDecision& decision);
   void connect(const std::vector<core::Address>& engines, core::Duration left);
--- a/src/jobs/tenure.cpp
+++ b/src/jobs/tenure.cpp
@@ -430,7 +430,7 @@
                                                                  : sure_until);
 }
 
-bool Tenure::may_order() const {
+bool Tenure::can_send_orders() const {
   return orders_known_ && is_sure_of_term();
 }
 
@@ -445,7 +445,7 @@
     const core::MonotonicTime now = self->inputs_.time.now();
     for (const ports::Record& record : *orders) {
       const core::Duration age = age_of(record.value, self->inputs_.store.now());
-      self->loader_->hold_back(record.key, now + self->settings_.order_pause - age);
+      self->loader_->pause_orders(record.key, now + self->settings_.order_pause - age);
     }
     self->orders_known_ = true;
   }
--- a/src/jobs/tenure.hpp
+++ b/src/jobs/tenure.hpp
@@ -75,7 +75,7 @@
 
   /// Whether this process may act on its term now.
   bool is_sure_of_term() const;
-  bool may_order() const;
+  bool can_send_orders() const;
   /// Tells the gate until when no other process coordinates, for all that this one knows.
   void keep_pace();
   /// Learns which replicas a former holder has ordered lately.
--- a/src/jobs/tenure_parts.cpp
+++ b/src/jobs/tenure_parts.cpp
@@ -69,9 +69,9 @@
     const auto self = weak.lock();
     return self ? self->wanted_weights_.wanted(self->open_jobs()) : weights::WantedVersions();
   };
-  loading.may_order = [weak] {
+  loading.can_send_orders = [weak] {
     const auto self = weak.lock();
-    return self && self->may_order();
+    return self && self->can_send_orders();
   };
   loading.running = [weak](const core::ReplicaId& id) {
     const auto self = weak.lock();
--- a/src/jobs/wanted_weights.cpp
+++ b/src/jobs/wanted_weights.cpp
@@ -76,7 +76,7 @@
     const auto demand = demand_.find(model);
     entry.demand = demand == demand_.end() ? 0 : demand->second;
     const auto texts = texts_.find(model);
-    entry.texts = texts == texts_.end() ? 0 : texts->second;
+    entry.peak_concurrency = texts == texts_.end() ? 0 : texts->second;
     wanted[model] = entry;
   }
   return wanted;
--- a/src/rollout/event_ownership.cpp
+++ b/src/rollout/event_ownership.cpp
@@ -20,7 +20,7 @@
   return Opening{entry.epoch, may_be_begun};
 }
 
-void EventOwnership::lose(const core::EventName& event) {
+void EventOwnership::mark_lost(const core::EventName& event) {
   const auto found = owned_.find(event);
   if (found != owned_.end()) {
     found->second.lost = true;
--- a/src/rollout/event_schedule.cpp
+++ b/src/rollout/event_schedule.cpp
@@ -4,7 +4,7 @@
 
 namespace stoneport::rollout {
 namespace {
-/// Connections open within the last half of the warm-up and its last tenth stays free.
+/// Connections are opened in the second half of the warm-up, except for its last tenth.
 constexpr double kConnectionsFrom = 0.5;
 constexpr double kConnectionsUntil = 0.1;
 constexpr double kHashRange = 18446744073709551616.0;  // 2^64
--- a/src/rollout/event_schedule.hpp
+++ b/src/rollout/event_schedule.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// When a daemon prepares for an event whose start is known in advance.
+/// Schedules a daemon's preparations for an event whose start is known in advance.
 #pragma once
 
 #include <string>
@@ -11,21 +11,21 @@
 
 enum class EventPhase {
   kIdle,         ///< nothing to do yet
-  kWeights,      ///< prefetch the policy's newest weights, roles
+  kWeights,      ///< prefetch the policy's newest weights
   kConnections,  ///< open connections to engines
-  kRunning,      ///< the start has come
+  kRunning,      ///< the event has started
 };
 
-/// Points in wall time. Weights come first because they take longest; the daemons'
-/// connections are spread so that they do not all arrive in one moment.
+/// Wall-clock times of the preparations. Weights come first because they take longest. The
+/// daemons' connection times are spread so that they do not all connect at once.
 struct WarmUpPlan {
   core::WallTime weights_at;
   core::WallTime connections_at;
   core::WallTime start;
 };
 
-/// \param warm_up time before \p start that the template sets aside
-/// \param spread_key names the daemon; decides its place within the spread
+/// \param warm_up time before \p start that the template reserves
+/// \param spread_key name of the daemon, which determines its position within the spread
 WarmUpPlan plan_warm_up(core::WallTime start, core::Duration warm_up, std::string_view spread_key);
 
 EventPhase phase_at(const WarmUpPlan& plan, core::WallTime now);
--- a/src/rollout/event_warm_up.cpp
+++ b/src/rollout/event_warm_up.cpp
@@ -44,9 +44,9 @@
   const EventPhase phase =
       phase_at(plan_warm_up(*input.scheduled_start, input.warm_up, input.spread_key), input.now);
   decision.daemons_behind = input.daemons_behind;
-  for (const EngineWarmth& engine : input.engines) {
+  for (const EngineReadiness& engine : input.engines) {
     if (!engine.version && !input.opens_connections) {
-      continue;  // another daemon's: this one does not read its reports
+      continue;  // assigned to another daemon; this one gets no reports from it
     }
     ++decision.engines;
     if (!engine.version || *engine.version < input.newest) {
--- a/src/rollout/event_warm_up.hpp
+++ b/src/rollout/event_warm_up.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Whether an event whose start is known in advance can start without anything
-/// cold, and which connections to open for that. Plain code.
+/// Decides whether a scheduled event is warmed up, with weights loaded and connections open, and
+/// which connections to open. Does no I/O.
 #pragma once
 
 #include <optional>
@@ -12,26 +12,26 @@
 
 namespace stoneport::rollout {
 
-/// The client closes a connection that was idle for 30 seconds.
+/// Idle time after which the client closes a connection.
 inline constexpr core::Duration kConnectionLifetime = std::chrono::seconds(30);
-/// After this long a connection is used again, so that it stays open.
+/// Idle time after which a connection is used again to keep it open.
 inline constexpr core::Duration kConnectionRefresh = std::chrono::seconds(10);
 
 enum class WarmUpState {
   kUnscheduled,  ///< the event has no start
   kScheduled,    ///< its warm-up has not begun
-  kWarming,      ///< within the warm-up, something is still cold
-  kWarm,         ///< within the warm-up, nothing is cold
-  kStarted,      ///< the start has come
+  kWarming,      ///< in the warm-up, weights or connections are missing
+  kWarm,         ///< in the warm-up, everything is ready
+  kStarted,      ///< the event has started
 };
 std::string_view to_string(WarmUpState state);
 
-/// One engine of the event's model as its last report describes it.
-struct EngineWarmth {
+/// One engine of the event's model, as of its last report.
+struct EngineReadiness {
   core::ReplicaId replica;
   core::Address address;
-  std::optional<core::WeightVersion> version;  ///< nothing without a report
-  /// Since the steps' own client last reached it; nothing when it never did.
+  std::optional<core::WeightVersion> version;  ///< nothing before the first report
+  /// Time since the client used by the steps last reached it; nothing when it never did.
   std::optional<core::Duration> connection_age = std::nullopt;
 };
 
@@ -39,26 +39,26 @@
   std::optional<core::WallTime> scheduled_start;
   core::Duration warm_up{};
   core::WallTime now;
-  std::string_view spread_key;  ///< names this daemon
-  std::vector<EngineWarmth> engines;
-  core::WeightVersion newest;      ///< published of the event's policy; zero: none
-  bool opens_connections = false;  ///< this daemon works on steps
-  std::size_t daemons_behind = 0;  ///< alive, with an older configuration
+  std::string_view spread_key;  ///< name of this daemon
+  std::vector<EngineReadiness> engines;
+  core::WeightVersion newest;  ///< newest published version of the event's policy; zero when none
+  bool opens_connections = false;  ///< whether this daemon works on steps
+  std::size_t daemons_behind = 0;  ///< live daemons with an older configuration
 };
 
-/// What is still cold.
+/// State of the warm-up and what is still missing.
 struct WarmUpDecision {
   WarmUpState state = WarmUpState::kUnscheduled;
   std::size_t engines = 0;
   std::size_t engines_without_weights = 0;
   std::size_t engines_without_connection = 0;
   std::size_t daemons_behind = 0;
-  /// To reach now: the plan's time for connections has come.
+  /// Engines to connect to now.
   std::vector<core::Address> connect_to;
 };
 
-/// An event without an engine is never warm; a policy that was never published has
-/// no weights to wait for.
+/// Returns the state of the warm-up. An event without engines is never warm. A policy that was
+/// never published has no weights to wait for.
 WarmUpDecision decide_warm_up(const WarmUpInput& input);
 
 }  // namespace stoneport::rollout
--- a/src/rollout/freshness.hpp
+++ b/src/rollout/freshness.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Whether a sample should wait for an engine with the newest weights although an
-/// older engine would do. A trainer that has finished steps in hand does not need
-/// the next one yet; what starts in the meantime on old weights is only older.
+/// Decides whether a sample should wait for an engine with the newest weights although an engine
+/// with older ones is free. A trainer with complete steps still to train on does not need the
+/// next step yet, so starting early on old weights only makes samples more stale.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,22 @@
 namespace stoneport::rollout {
 
 struct FreshnessInput {
-  /// Complete steps of the event that the trainer holds and has not trained on,
-  /// as far as its publications tell: each one ends the training of one step.
-  std::uint64_t steps_in_hand = 0;
-  /// How long a step takes from its first start to its last sample.
+  /// Complete steps of the event that the trainer has and has not trained on yet, derived from
+  /// its publications: each one ends the training of one step.
+  std::uint64_t untrained_steps = 0;
+  /// Expected time of a step from its first start to its last sample.
   core::Duration expected_step{};
   core::MonotonicTime now;
 };
 
-/// \return the time until the trainer would wait for the step after those it has
-/// in hand; zero when it waits now, when its rhythm is not known and when its next
+/// \return the time until the trainer has trained on all complete steps and waits for the next
+/// one; zero when it is waiting now, when its publication rate is unknown, and when its next
 /// publication is overdue.
-core::Duration time_until_needed(const FreshnessInput& input, const PublicationRhythm& rhythm);
+core::Duration time_until_needed(const FreshnessInput& input,
+                                 const PublicationRate& publication_rate);
 
-/// \return whether there is time to spare, so that only engines with the trainer's
-/// current version should start samples.
-bool should_wait_for_fresh(const FreshnessInput& input, const PublicationRhythm& rhythm);
+/// \return whether enough time is left to start samples only on engines with the trainer's
+/// current version.
+bool should_wait_for_fresh(const FreshnessInput& input, const PublicationRate& publication_rate);
 
 }  // namespace stoneport::rollout
--- a/src/rollout/group_placement.cpp
+++ b/src/rollout/group_placement.cpp
@@ -21,19 +21,19 @@
   return sum / static_cast<double>(candidates.size());
 }
 
-/// Load that one more stream adds, so that an idle cluster has a bound above zero.
+/// Returns the load added by one more stream, so that an idle cluster has a bound above zero.
 double one_stream(const EngineCandidate& candidate) {
   return candidate.max_running > 0 ? 1.0 / candidate.max_running : 1.0;
 }
 
-/// Candidates in the best class that is not empty: fresh to the end before fresh
-/// for now, trusted before suspect.
+/// Returns the candidates of the best class that is not empty. Engines expected to stay within
+/// the age bound come before those within it only now, and trusted ones before suspect ones.
 std::vector<EngineCandidate> best_class(const PlacementInput& input,
-                                        const PublicationRhythm& rhythm) {
+                                        const PublicationRate& publication_rate) {
   std::map<std::tuple<bool, Admission>, std::vector<EngineCandidate>> classes;
   for (const EngineCandidate& candidate : input.candidates) {
     AdmissionInput question{input.rule, candidate.version, input.now, input.expected_run};
-    const Admission admission = predict_admission(question, rhythm);
+    const Admission admission = predict_admission(question, publication_rate);
     if (!candidate.closed && admission != Admission::kTooOld) {
       classes[{candidate.suspect, admission}].push_back(candidate);
     }
@@ -61,8 +61,8 @@
 }
 
 std::optional<core::ReplicaId> GroupPlacement::place(const PlacementInput& input,
-                                                     const PublicationRhythm& rhythm) {
-  const std::vector<EngineCandidate> usable = best_class(input, rhythm);
+                                                     const PublicationRate& publication_rate) {
+  const std::vector<EngineCandidate> usable = best_class(input, publication_rate);
   if (usable.empty()) {
     return std::nullopt;
   }
--- a/src/rollout/group_placement.hpp
+++ b/src/rollout/group_placement.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Keeps the samples of one prompt on one engine, whose cache then holds the
-/// prompt once, for as long as that engine has room and weights young enough.
+/// Places all samples of a prompt on one engine, so that the prompt is cached only once, as long
+/// as that engine has capacity and sufficiently new weights.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,19 @@
 
 namespace stoneport::rollout {
 
-/// One engine as the daemon knows it.
+/// State of one engine as known to the daemon.
 struct EngineCandidate {
   core::ReplicaId id;
-  std::uint32_t in_flight = 0;    ///< streams of this daemon, exact
-  std::uint32_t reported = 0;     ///< running and waiting as reported, lagging
+  std::uint32_t in_flight = 0;  ///< exact number of this daemon's streams
+  std::uint32_t reported = 0;  ///< running and waiting streams of all daemons, from the last report
   std::uint32_t max_running = 0;  ///< zero when unknown
   std::optional<core::WeightVersion> version;
-  bool suspect = false;  ///< used only when nothing else is left
-  bool closed = false;   ///< takes nothing for now: refused a stream lately, or is full
+  bool suspect = false;  ///< used only when no other engine is available
+  bool closed = false;   ///< gets no streams for now: recently refused one, or is full
 };
 
 struct PlacementSettings {
-  /// A group stays on its engine up to this multiple of the mean load.
+  /// Load of an engine, as a multiple of the mean, up to which a group stays on it.
   double load_bound = 1.25;
 };
 
@@ -37,34 +37,35 @@
   core::Duration expected_run{};
 };
 
-/// Picks an engine for a group that has none, or whose engine is full.
+/// Selects an engine for a group that has none or whose engine is full.
 class EngineChooser {
  public:
   virtual ~EngineChooser() = default;
   /// \param candidates never empty
-  /// \return one of them.
+  /// \return the id of one of the candidates.
   virtual core::ReplicaId choose(std::uint32_t prompt,
                                  const std::vector<EngineCandidate>& candidates) = 0;
 };
 
-/// The engine with the least load for its size; equal ones by rendezvous hashing
-/// of the prompt's number, so that groups spread.
+/// Selects the engine with the lowest load relative to its size. Ties are broken by rendezvous
+/// hashing of the prompt number, which spreads the groups.
 class LeastLoadedChooser : public EngineChooser {
  public:
   core::ReplicaId choose(std::uint32_t prompt,
                          const std::vector<EngineCandidate>& candidates) override;
 };
 
+/// Remembers the engine of each group and places its samples there.
 class GroupPlacement {
  public:
   GroupPlacement(EngineChooser& chooser, PlacementSettings settings)
       : chooser_(chooser), settings_(settings) {}
 
-  /// \return the engine for the next sample of that prompt, or nothing when all
-  /// engines are too old, closed or gone: ask again later.
+  /// \return the engine for the next sample of the prompt, or nothing when all engines have too
+  /// old weights, are closed or are gone; the caller retries later.
   std::optional<core::ReplicaId> place(const PlacementInput& input,
-                                       const PublicationRhythm& rhythm);
-  /// The engine of \p prompt failed: its next sample is placed anew.
+                                       const PublicationRate& publication_rate);
+  /// Forgets the engine of \p prompt after a failure, so that its next sample is placed again.
   void forget(std::uint32_t prompt);
 
  private:
--- a/src/rollout/length_distribution.hpp
+++ b/src/rollout/length_distribution.hpp
@@ -1,8 +1,7 @@
 /// \file
-/// Distribution of sample lengths while some samples still run. A running sample
-/// says only that its length is above what it has so far (right-censored), so the
-/// survival curve is the Kaplan-Meier estimate; counting finished samples alone
-/// would favour short ones.
+/// Estimates the distribution of sample lengths while some samples are still running. A running
+/// sample gives only a lower bound of its length (right-censored), so the survival curve is the
+/// Kaplan-Meier estimate. Counting only finished samples would be biased towards short ones.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +9,19 @@
 
 namespace stoneport::rollout {
 
+/// Survival curve of sample lengths.
 class LengthDistribution {
  public:
   /// \param finished lengths in tokens of finished samples
-  /// \param running tokens so far of samples that still run
+  /// \param running tokens so far of running samples
   /// \param longest length in tokens at which engines stop a sample
   LengthDistribution(std::vector<std::uint64_t> finished, std::vector<std::uint64_t> running,
                      std::uint64_t longest);
 
   /// \return the probability that a sample is longer than \p tokens.
   double survival(std::uint64_t tokens) const;
-  /// \return tokens that a sample which has \p tokens_so_far still needs, at
-  /// \p quantile of the lengths beyond that. Up to the longest length where too
-  /// few samples finished to say.
+  /// \return the \p quantile of the remaining tokens of a sample that has \p tokens_so_far. Assumes
+  /// the longest length when too few samples have finished.
   std::uint64_t remaining(std::uint64_t tokens_so_far, double quantile) const;
 
  private:
--- a/src/rollout/provenance.cpp
+++ b/src/rollout/provenance.cpp
@@ -4,17 +4,17 @@
 
 namespace stoneport::rollout {
 
-std::string_view to_string(UnfitReason reason) {
+std::string_view to_string(SampleDefect reason) {
   switch (reason) {
-    case UnfitReason::kVersionMissing:
+    case SampleDefect::kVersionMissing:
       return "version_missing";
-    case UnfitReason::kGap:
+    case SampleDefect::kGap:
       return "gap";
-    case UnfitReason::kOverlap:
+    case SampleDefect::kOverlap:
       return "overlap";
-    case UnfitReason::kCountMismatch:
+    case SampleDefect::kCountMismatch:
       return "count_mismatch";
-    case UnfitReason::kEmpty:
+    case SampleDefect::kEmpty:
       return "empty";
   }
   return "unknown";
@@ -28,19 +28,19 @@
   return oldest->version;
 }
 
-std::optional<UnfitReason> ProvenanceBuilder::add(const GeneratedChunk& chunk) {
-  if (unfit_) {
-    return unfit_;
+std::optional<SampleDefect> ProvenanceBuilder::add(const GeneratedChunk& chunk) {
+  if (defect_) {
+    return defect_;
   }
   if (!chunk.version) {
-    unfit_ = UnfitReason::kVersionMissing;
+    defect_ = SampleDefect::kVersionMissing;
   } else if (chunk.offset > token_count_) {
-    unfit_ = UnfitReason::kGap;
+    defect_ = SampleDefect::kGap;
   } else if (chunk.offset < token_count_) {
-    unfit_ = UnfitReason::kOverlap;
+    defect_ = SampleDefect::kOverlap;
   }
-  if (unfit_) {
-    return unfit_;
+  if (defect_) {
+    return defect_;
   }
   if (chunk.token_count == 0) {
     text_ += chunk.text;
@@ -56,16 +56,16 @@
   return std::nullopt;
 }
 
-std::optional<UnfitReason> ProvenanceBuilder::finish(std::uint64_t token_count) {
-  if (unfit_) {
-    return unfit_;
+std::optional<SampleDefect> ProvenanceBuilder::finish(std::uint64_t token_count) {
+  if (defect_) {
+    return defect_;
   }
   if (token_count != token_count_) {
-    unfit_ = UnfitReason::kCountMismatch;
+    defect_ = SampleDefect::kCountMismatch;
   } else if (token_count_ == 0) {
-    unfit_ = UnfitReason::kEmpty;
+    defect_ = SampleDefect::kEmpty;
   }
-  return unfit_;
+  return defect_;
 }
 
 std::optional<core::WeightVersion> ProvenanceBuilder::oldest() const {
--- a/src/rollout/slot_bitmap.cpp
+++ b/src/rollout/slot_bitmap.cpp
@@ -41,7 +41,7 @@
     const auto high = digit_value(hex[index * 2]);
     const auto low = digit_value(hex[index * 2 + 1]);
     if (!high || !low) {
-      return invalid("bitmap holds something else than lower-case hexadecimal digits");
+      return invalid("bitmap contains a character that is not a lower-case hexadecimal digit");
     }
     bitmap.bytes_[index] = static_cast<std::uint8_t>(*high << 4 | *low);
   }
--- a/src/rollout/slot_bitmap.hpp
+++ b/src/rollout/slot_bitmap.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Set of slots as a bitmap, with the hexadecimal form of the trainer
-/// interface: bit i stands in byte i / 8, least significant bit first.
+/// Set of slots as a bitmap, with the hexadecimal encoding of the trainer interface: bit i is in
+/// byte i / 8, least significant bit first.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,13 @@
 
 namespace stoneport::rollout {
 
+/// Fixed-size set of slot indices.
 class SlotBitmap {
  public:
   explicit SlotBitmap(std::size_t slot_count);
 
-  /// \return kInvalidArgument for another length than \p slot_count needs, for
-  /// anything but lower-case hexadecimal digits, and for a bit past the last slot.
+  /// \return the bitmap, or kInvalidArgument if the length does not match \p slot_count, a
+  /// character is not a lower-case hexadecimal digit, or a bit past the last slot is set.
   static core::Result<SlotBitmap> parse(std::string_view hex, std::size_t slot_count);
   std::string to_hex() const;
 
--- a/src/rollout/staleness.cpp
+++ b/src/rollout/staleness.cpp
@@ -4,7 +4,7 @@
 
 namespace stoneport::rollout {
 namespace {
-/// Weight of the newest interval in the smoothed one.
+/// Weight of the newest interval in the moving average.
 constexpr double kNewestWeight = 0.5;
 }  // namespace
 
@@ -16,7 +16,7 @@
   return age_of(oldest) <= bound;
 }
 
-void PublicationRhythm::published(core::WeightVersion version, core::MonotonicTime now) {
+void PublicationRate::published(core::WeightVersion version, core::MonotonicTime now) {
   if (version <= latest_) {
     return;
   }
@@ -30,21 +30,21 @@
   latest_at_ = now;
 }
 
-std::uint64_t PublicationRhythm::expected_within(core::MonotonicTime now,
-                                                 core::Duration ahead) const {
+std::uint64_t PublicationRate::expected_within(core::MonotonicTime now,
+                                               core::Duration ahead) const {
   if (!interval_ || interval_->count() <= 0) {
     return 0;
   }
-  // An overdue publication is expected at once, not several of them.
+  // However long a publication is overdue, it counts as one, expected immediately.
   const core::Duration since = std::min(now - *latest_at_, *interval_);
   return static_cast<std::uint64_t>((since + ahead).count() / interval_->count());
 }
 
-std::optional<core::MonotonicTime> PublicationRhythm::next_expected() const {
+std::optional<core::MonotonicTime> PublicationRate::next_expected() const {
   return interval_ ? std::optional(*latest_at_ + *interval_) : std::nullopt;
 }
 
-Admission predict_admission(const AdmissionInput& input, const PublicationRhythm& rhythm) {
+Admission predict_admission(const AdmissionInput& input, const PublicationRate& publication_rate) {
   if (!input.engine_version) {
     return Admission::kAdmit;
   }
@@ -52,7 +52,7 @@
     return Admission::kTooOld;
   }
   AgeRule at_end = input.rule;
-  const std::uint64_t ahead = rhythm.expected_within(input.now, input.expected_run);
+  const std::uint64_t ahead = publication_rate.expected_within(input.now, input.expected_run);
   at_end.current = core::WeightVersion(at_end.current.value() + ahead);
   return at_end.allows(*input.engine_version) ? Admission::kAdmit : Admission::kExpectedTooOld;
 }
--- a/src/rollout/staleness.hpp
+++ b/src/rollout/staleness.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Age of samples in weight versions: the rule at hand-over, the early end of
-/// work that can no longer meet it, and the prediction at admission.
+/// Age of samples in weight versions: the rule applied at hand-over, and the prediction made
+/// before a sample is started.
 #pragma once
 
 #include <cstdint>
@@ -11,52 +11,52 @@
 
 namespace stoneport::rollout {
 
-/// The bound in force and the trainer's current version, at one moment.
+/// Age bound and the trainer's current version at one point in time.
 struct AgeRule {
   core::WeightVersion current;
   std::uint32_t bound = 0;
 
-  /// Versions that \p oldest lags behind the trainer; zero when it is newer.
+  /// Returns how many versions \p oldest lags behind the trainer; zero when it is newer.
   std::uint64_t age_of(core::WeightVersion oldest) const;
-  /// \return whether a sample whose oldest span is \p oldest may be handed over.
-  /// Neither the current version nor an oldest span ever goes back, so work that
-  /// fails once fails for good unless the bound is loosened.
+  /// \return whether a sample whose oldest span is \p oldest may be handed over. The current
+  /// version never decreases and an oldest span never becomes newer, so a sample that fails once
+  /// fails permanently unless the bound is raised.
   bool allows(core::WeightVersion oldest) const;
 };
 
-/// Learns how often the trainer publishes, from the times of its publications.
-class PublicationRhythm {
+/// Estimates how often the trainer publishes from the times of its publications.
+class PublicationRate {
  public:
   /// Records that the trainer's current version became \p version at \p now.
   void published(core::WeightVersion version, core::MonotonicTime now);
-  /// \return how many more versions are expected within \p ahead of \p now; zero
-  /// until two publications have been seen.
+  /// \return the number of versions expected within \p ahead after \p now; zero until two
+  /// publications have been recorded.
   std::uint64_t expected_within(core::MonotonicTime now, core::Duration ahead) const;
   std::optional<core::Duration> interval() const { return interval_; }
-  /// \return when the next publication is due; nothing until two have been seen.
+  /// \return when the next publication is due; nothing until two have been recorded.
   std::optional<core::MonotonicTime> next_expected() const;
 
  private:
   core::WeightVersion latest_;
   std::optional<core::MonotonicTime> latest_at_;
-  std::optional<core::Duration> interval_;  ///< smoothed, for one version
+  std::optional<core::Duration> interval_;  ///< smoothed time between versions
 };
 
 enum class Admission {
-  kAdmit,           ///< expected to be fresh at its end
-  kExpectedTooOld,  ///< fresh now, not at its end: only when nothing better is there
-  kTooOld,          ///< cannot be handed over at all
+  kAdmit,           ///< expected to be within the bound when it ends
+  kExpectedTooOld,  ///< within the bound now but not when it ends: used only as a last resort
+  kTooOld,          ///< exceeds the bound already
 };
 
 struct AdmissionInput {
   AgeRule rule;
-  /// As the engine last reported; nothing when it never did.
+  /// Version last reported by the engine; nothing when it never reported one.
   std::optional<core::WeightVersion> engine_version;
   core::MonotonicTime now;
-  core::Duration expected_run{};  ///< until the sample's end and hand-over
+  core::Duration expected_run{};  ///< expected time until the sample is handed over
 };
 
-/// Says whether a sample started now on that engine would meet the bound.
-Admission predict_admission(const AdmissionInput& input, const PublicationRhythm& rhythm);
+/// Predicts whether a sample started now on the engine would meet the bound.
+Admission predict_admission(const AdmissionInput& input, const PublicationRate& publication_rate);
 
 }  // namespace stoneport::rollout
--- a/src/rollout/start_order.cpp
+++ b/src/rollout/start_order.cpp
@@ -6,7 +6,7 @@
 namespace stoneport::rollout {
 
 namespace {
-/// Stands in for the usual length until a sample has ended.
+/// Mean length in tokens that is assumed until a sample has finished.
 constexpr double kAssumedLength = 256;
 }  // namespace
 
@@ -15,8 +15,9 @@
   return (static_cast<double>(group.tokens) + prior) / (group.finished + 1);
 }
 
-std::vector<core::SlotId> order_of_start(std::vector<core::SlotId> idle,
-                                         const std::vector<GroupProgress>& groups, double usual) {
+std::vector<core::SlotId> order_by_expected_length(std::vector<core::SlotId> idle,
+                                                   const std::vector<GroupProgress>& groups,
+                                                   double usual) {
   const auto rank = [&](core::SlotId slot) {
     const GroupProgress group = slot.prompt < groups.size() ? groups[slot.prompt] : GroupProgress{};
     return std::tuple(-expected_length(group, usual), slot.prompt, slot.sample);
--- a/src/rollout/step_ledger.hpp
+++ b/src/rollout/step_ledger.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// Ledger of one step: which slots have a sample, which the trainer holds, and
-/// what to hand over next. Owned by the step's runner, on the steps thread.
+/// Ledger of one step: which slots have a sample, which samples the trainer holds, and what to
+/// hand over next. Used on the steps thread.
 ///
-/// The trainer's bitmap is the only proof of delivery. A sample stays here until
-/// the step is closed, so an answer that was lost is handed over again.
+/// Only the trainer's bitmap confirms delivery. A sample is kept until the step is closed, so
+/// that samples of a lost response are handed over again.
 #pragma once
 
 #include <cstdint>
@@ -17,68 +17,66 @@
 namespace stoneport::rollout {
 
 enum class FinishOutcome {
-  kAccepted,   ///< the slot's sample from now on
-  kDuplicate,  ///< the slot has a sample, or the trainer holds it: dropped
-  kTooOld,     ///< over the bound already: dropped
+  kAccepted,   ///< stored as the slot's sample
+  kDuplicate,  ///< dropped: the slot has a sample, or the trainer holds one
+  kTooOld,     ///< dropped: exceeds the age bound
 };
 
-/// Most that one answer may carry. At least one sample is handed over however
-/// long its text is.
+/// Size limits of one response. At least one sample is handed over regardless of its size.
 struct HandOverLimit {
   std::size_t samples = 64;
   std::size_t text_bytes = std::size_t{4} << 20;
 };
 
-/// What one poll gets.
+/// Result of one poll.
 struct HandOver {
   std::vector<Sample> samples;
-  /// Every slot is held by the trainer or in `samples`.
+  /// Whether each slot is either held by the trainer or in `samples`.
   bool complete = false;
 };
 
+/// Records the attempts, samples and acknowledgements of each slot.
 class StepLedger {
  public:
   explicit StepLedger(StepShape shape);
 
   const StepShape& shape() const { return shape_; }
 
-  /// Counts a new attempt for \p slot and marks it as running.
+  /// Starts a new attempt for \p slot.
   /// \return its number, unique within the slot
   std::uint32_t begin_attempt(core::SlotId slot);
-  /// Takes over an attempt that an earlier owner of the step began.
+  /// Registers a running attempt that an earlier owner of the step began.
   void adopt_attempt(core::SlotId slot, std::uint32_t number);
-  /// The attempt is over without a sample.
+  /// Ends a running attempt that produced no sample.
   void abandon_attempt(core::SlotId slot);
-  /// The attempt is over with \p sample; `sample.attempts` is filled in here.
+  /// Ends the attempt that produced \p sample and sets `sample.attempts`.
   FinishOutcome finish_attempt(Sample sample, const AgeRule& rule);
-  /// A spare attempt of the group, which has no slot of its own, ended with
-  /// \p sample; it takes `sample.slot`.
+  /// Enters \p sample of a spare attempt, which has no slot of its own, into `sample.slot`.
   FinishOutcome finish_spare(Sample sample, const AgeRule& rule);
 
-  /// \return slots that neither have a sample nor a running attempt.
+  /// \return the slots with neither a sample nor a running attempt.
   std::vector<core::SlotId> idle_slots() const;
   /// \return whether a sample for \p slot is still wanted.
   bool is_missing(core::SlotId slot) const;
   bool is_held(core::SlotId slot) const;
   std::uint32_t running_attempts(core::SlotId slot) const;
 
-  /// Takes the trainer's word for what it holds. Adds only: a poll that arrives
-  /// late names fewer slots than a newer one did.
+  /// Marks the slots in \p held as held by the trainer. Never clears a slot, because a delayed
+  /// poll lists fewer slots than a newer one.
   void acknowledge(const SlotBitmap& held);
-  /// The trainer opened the step again and may have lost what it held.
+  /// Clears all acknowledgements, for a trainer that reopened the step and may have lost samples.
   void forget_acknowledgements();
-  /// Drops samples that are not held and over the bound.
-  /// \return how many; their slots are missing again.
+  /// Drops samples that the trainer does not hold and that exceed the age bound.
+  /// \return the number of dropped samples, whose slots need a sample again.
   std::size_t discard_too_old(const AgeRule& rule);
-  /// Acknowledges \p held and picks samples that it lacks within \p limit, each
-  /// checked against \p rule now.
+  /// Acknowledges \p held, then selects samples not in it, up to \p limit, that \p rule allows.
   HandOver hand_over(const SlotBitmap& held, const HandOverLimit& limit, const AgeRule& rule);
-  /// \return whether hand_over() would have something to say.
+  /// \return whether hand_over() would return samples or report the step as complete.
   bool has_news() const;
 
   std::size_t held_count() const { return held_count_; }
   std::size_t ready_count() const;
-  /// \return the oldest version in a sample that is ready; nothing without one.
+  /// \return the oldest version in the ready samples; nothing when there are none.
   std::optional<core::WeightVersion> oldest_ready() const;
   bool all_held() const { return held_count_ == slots_.size(); }
 
--- a/src/rollout/step_report.hpp
+++ b/src/rollout/step_report.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// State of one open step, as operators see it. Plain value: taken on the steps
-/// thread, read on the control thread.
+/// Snapshot of one open step for operators. Created on the steps thread, read on the control
+/// thread.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
   core::StepNumber step;
   core::Epoch epoch;
   std::size_t samples_expected = 0;
-  std::size_t samples_held = 0;   ///< by the trainer, as its last bitmap said
-  std::size_t samples_ready = 0;  ///< made here and not held by the trainer yet
+  std::size_t samples_held = 0;   ///< held by the trainer, from its last bitmap
+  std::size_t samples_ready = 0;  ///< generated and not yet held by the trainer
   std::size_t running_attempts = 0;
-  /// Versions that the oldest token of a ready sample or a running attempt lags
-  /// behind the trainer; nothing when there is no such token.
+  /// Number of versions by which the oldest token of all ready samples and running attempts lags
+  /// behind the trainer; nothing without such a token.
   std::optional<std::uint64_t> oldest_staleness;
   core::WallTime since;  ///< when this daemon opened the step
 };
--- a/src/rollout/stragglers.cpp
+++ b/src/rollout/stragglers.cpp
@@ -28,7 +28,7 @@
   return *middle;
 }
 
-/// \return predictions, the latest end first.
+/// \return predictions sorted by remaining time, longest first.
 std::vector<Prediction> predict(const StragglerInput& input, const LengthDistribution& lengths,
                                 const StragglerSettings& settings) {
   const double usual_rate = median_rate(input.running);
@@ -49,7 +49,7 @@
   return predictions;
 }
 
-/// \return that share of \p count, rounded up.
+/// \return \p share of \p count, rounded up.
 std::size_t share_of(double share, std::size_t count) {
   return static_cast<std::size_t>(std::ceil(share * static_cast<double>(count)));
 }
@@ -79,7 +79,8 @@
              static_cast<double>(sample.context_tokens);
 }
 
-/// Unknown versions are no reason against a move; the ledger checks the sample.
+/// Returns whether the target has an older version than the sample's engine. An unknown version
+/// does not prevent a migration, because the ledger checks the finished sample.
 bool is_older(const MigrationTarget& target, const RunningSample& sample) {
   return target.version && sample.version && *target.version < *sample.version;
 }
@@ -88,7 +89,7 @@
   MigrationTarget* best = nullptr;
   for (MigrationTarget& target : targets) {
     const bool is_open =
-        target.free_places > 0 && target.engine != sample.engine && !is_older(target, sample);
+        target.free_capacity > 0 && target.engine != sample.engine && !is_older(target, sample);
     if (is_open && (best == nullptr || target.tokens_per_second > best->tokens_per_second)) {
       best = &target;
     }
@@ -106,11 +107,11 @@
   const double there =
       migration_seconds(*one.sample, settings) + one.remaining_tokens / target->tokens_per_second;
   const double gain = one.seconds - there;
-  if (gain < settings.migration_gain * one.seconds ||
-      gain < core::to_seconds(settings.migration_least_gain)) {
+  if (gain < settings.min_migration_gain_share * one.seconds ||
+      gain < core::to_seconds(settings.min_migration_gain)) {
     return std::nullopt;
   }
-  --target->free_places;
+  --target->free_capacity;
   return Migration{one.sample->slot, target->engine, core::from_seconds(gain)};
 }
 
@@ -135,7 +136,7 @@
   std::vector<MigrationTarget> targets = input.targets;
   for (std::size_t index = 0; index < movable; ++index) {
     const Prediction& one = predictions[index];
-    if (one.sample->migrations >= settings.most_migrations_per_sample) {
+    if (one.sample->migrations >= settings.max_migrations_per_sample) {
       continue;
     }
     if (const auto migration = plan_migration(one, targets, settings)) {
--- a/src/rollout/stragglers.hpp
+++ b/src/rollout/stragglers.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Decides what to do about the samples that a step is waiting for: raise their
-/// priority, or move them to an engine that would finish them sooner. Plain code:
-/// the step runner and the simulation call it with what they see.
+/// Selects stragglers, the samples that delay the end of a step, and either raises their priority
+/// or migrates them to an engine that would finish them sooner. Does no I/O; used by the step
+/// runner and the simulation.
 #pragma once
 
 #include <cstdint>
@@ -15,50 +15,50 @@
 namespace stoneport::rollout {
 
 struct StragglerSettings {
-  /// Share of the slots that must have a sample before anything is done.
+  /// Share of the slots that must have a sample before any action is taken.
   double finished_share = 0.25;
-  /// Quantile of the remaining length that predictions use.
+  /// Quantile of the remaining length used for predictions.
   double quantile = 0.7;
-  /// A sample is late when its predicted end is beyond this multiple of the median's.
+  /// A sample is late when its predicted remaining time exceeds the median by this factor.
   double late_factor = 1.5;
   std::int32_t priority_raise = 10;
-  /// Share of the running samples that may be raised at one time: a raise for
-  /// everyone is a raise for no one.
+  /// Share of the running samples that may have a raised priority at the same time; raising all
+  /// of them would have no effect.
   double raised_share = 0.2;
 
   bool migrate = true;
-  /// Share of the running samples, those with the latest predicted end, that may
-  /// be moved. The others would finish in time where they are.
+  /// Share of the running samples, those with the latest predicted end, that may be migrated. The
+  /// others finish in time where they are.
   double migrated_share = 0.25;
   core::Duration migration_fixed_cost = std::chrono::milliseconds(100);
-  /// Cost for each token of context that is exported, sent and imported.
+  /// Cost per token of context for export, transfer and import.
   core::Duration migration_cost_per_token = std::chrono::microseconds(20);
-  /// Least predicted gain, as a share of the time left where it runs.
-  double migration_gain = 0.3;
-  core::Duration migration_least_gain = std::chrono::milliseconds(500);
-  std::uint32_t most_migrations_per_sample = 2;
+  /// Minimum predicted gain, as a share of the remaining time without migration.
+  double min_migration_gain_share = 0.3;
+  core::Duration min_migration_gain = std::chrono::milliseconds(500);
+  std::uint32_t max_migrations_per_sample = 2;
 };
 
-/// One running sample as the step sees it.
+/// State of one running sample.
 struct RunningSample {
   core::SlotId slot;
   core::ReplicaId engine;
-  std::uint64_t context_tokens = 0;  ///< prompt and generated, estimated
+  std::uint64_t context_tokens = 0;  ///< prompt and generated tokens, estimated
   std::uint64_t tokens_so_far = 0;
   double tokens_per_second = 0;  ///< measured on the stream; zero when unknown
   bool raised = false;
   std::uint32_t migrations = 0;
-  std::optional<core::WeightVersion> version = std::nullopt;  ///< of the engine it is on
+  std::optional<core::WeightVersion> version = std::nullopt;  ///< weight version of its engine
 };
 
-/// One engine that could take a sample over.
+/// One engine to which a sample could be migrated.
 struct MigrationTarget {
   core::ReplicaId engine;
-  std::uint32_t free_places = 0;  ///< after what is already on its way there
-  /// Of one more stream there, given its load.
+  std::uint32_t free_capacity = 0;  ///< streams it can take, net of migrations already planned
+  /// Expected rate of an additional stream, given the engine's load.
   double tokens_per_second = 0;
-  /// A sample never moves to an older version than it runs on: its oldest span
-  /// would become older, and it might be over its bound.
+  /// A sample never migrates to an older version than its engine's: its oldest span would become
+  /// older and might exceed the age bound.
   std::optional<core::WeightVersion> version = std::nullopt;
 };
 
@@ -83,14 +83,14 @@
   std::vector<MigrationTarget> targets;
 };
 
-/// \return raises and migrations, those of the latest samples first.
+/// \return priority raises and migrations, each with the latest samples first.
 StragglerDecision decide_stragglers(const StragglerInput& input, const LengthDistribution& lengths,
                                     const StragglerSettings& settings);
 
 /// \param finished lengths in tokens of this step's finished samples
-/// \param earlier of samples that finished in steps before
+/// \param earlier lengths in tokens of samples of earlier steps
 /// \param longest length in tokens at which engines stop a sample
-/// \return the lengths that those and the running samples of \p input tell of.
+/// \return the distribution estimated from these and the running samples of \p input.
 LengthDistribution observed_lengths(const StragglerInput& input,
                                     std::vector<std::uint64_t> finished,
                                     const std::vector<std::uint64_t>& earlier,
--- a/src/rollout/stream_name.cpp
+++ b/src/rollout/stream_name.cpp
@@ -8,7 +8,7 @@
 namespace stoneport::rollout {
 namespace {
 
-/// Takes the number before the next \p separator, or all that is left.
+/// Consumes the number before the next \p separator or, without one, the rest of \p text.
 std::optional<std::uint64_t> take_number(std::string_view& text, char separator) {
   const std::size_t end = std::min(text.find(separator), text.size());
   const auto value = core::parse_number<std::uint64_t>(text.substr(0, end));
--- a/src/steps/attempt.cpp
+++ b/src/steps/attempt.cpp
@@ -8,7 +8,7 @@
 using core::ErrorCode;
 namespace {
 
-/// Orders to engines that nothing waits for: a cancel or a priority.
+/// Sends a cancel to an engine without a caller waiting for the result.
 asio::awaitable<void> send_cancel(std::shared_ptr<ports::ModelEngine> engine, core::StreamId stream,
                                   prometheus::Counter& failures) {
   const auto done = co_await engine->cancel_stream(std::move(stream));
@@ -31,17 +31,17 @@
          code == ErrorCode::kOverloaded;
 }
 
-/// The stream may be running under its identifier.
+/// Returns whether the stream may be running on the engine despite the error.
 bool may_be_running(ErrorCode code) {
   return code == ErrorCode::kOutcomeUnknown || code == ErrorCode::kConflict ||
          code == ErrorCode::kDeadlineExceeded || code == ErrorCode::kTruncated;
 }
 
-routing::LoadSignal load_signal(AttemptEnd end) {
+routing::LoadSignal load_signal(AttemptOutcome end) {
   switch (end) {
-    case AttemptEnd::kFinished:
+    case AttemptOutcome::kFinished:
       return routing::LoadSignal::kHealthy;
-    case AttemptEnd::kRefused:
+    case AttemptOutcome::kRefused:
       return routing::LoadSignal::kOverloaded;
     default:
       return routing::LoadSignal::kNeutral;
@@ -63,34 +63,34 @@
   return context_.engines.client(order_.engine.address);
 }
 
-asio::awaitable<AttemptEnd> Attempt::run() {
+asio::awaitable<AttemptOutcome> Attempt::run() {
   const auto self = shared_from_this();
-  std::optional<AttemptEnd> end = co_await open();
+  std::optional<AttemptOutcome> end = co_await open();
   while (!end) {
     end = co_await read();
   }
   reading_ = false;
   stream_.reset();
   if (stop_ != Stop::kNone) {
-    end = AttemptEnd::kCancelled;
+    end = AttemptOutcome::kCancelled;
   }
   context_.engines.stream_ended(order_.engine.id, load_signal(*end));
-  const bool leaves_stream = *end == AttemptEnd::kFailed || *end == AttemptEnd::kUnfit;
+  const bool leaves_stream = *end == AttemptOutcome::kFailed || *end == AttemptOutcome::kDefective;
   if (stop_ == Stop::kCancel || leaves_stream) {
     cancel_at(order_.engine);
   }
-  if (*end == AttemptEnd::kFinished) {
-    context_.engines.worked(order_.engine.id);
+  if (*end == AttemptOutcome::kFinished) {
+    context_.engines.record_success(order_.engine.id);
   } else {
     context_.metrics.tokens_dropped.Increment(static_cast<double>(content_.token_count()));
   }
   co_return *end;
 }
 
-asio::awaitable<std::optional<AttemptEnd>> Attempt::open() {
+asio::awaitable<std::optional<AttemptOutcome>> Attempt::open() {
   if (order_.adopted) {
     const bool resumed = co_await resume();
-    co_return resumed ? std::nullopt : std::optional(AttemptEnd::kFailed);
+    co_return resumed ? std::nullopt : std::optional(AttemptOutcome::kFailed);
   }
   const auto engine = client();
   StreamResult opened = co_await engine->generate(order_.request, order_.deadline);
@@ -100,58 +100,58 @@
   }
   const core::Error error = opened.error();
   if (error.code == ErrorCode::kFenced) {
-    co_return AttemptEnd::kFenced;
+    co_return AttemptOutcome::kFenced;
   }
   if (stop_ == Stop::kNone && may_be_running(error.code)) {
     const bool resumed = co_await resume();
-    co_return resumed ? std::nullopt : std::optional(AttemptEnd::kFailed);
+    co_return resumed ? std::nullopt : std::optional(AttemptOutcome::kFailed);
   }
-  context_.engines.refused(order_.engine.id, error.retry_after);
-  co_return is_refusal(error.code) ? AttemptEnd::kRefused : AttemptEnd::kFailed;
+  context_.engines.record_refusal(order_.engine.id, error.retry_after);
+  co_return is_refusal(error.code) ? AttemptOutcome::kRefused : AttemptOutcome::kFailed;
 }
 
-asio::awaitable<std::optional<AttemptEnd>> Attempt::read() {
+asio::awaitable<std::optional<AttemptOutcome>> Attempt::read() {
   if (stop_ != Stop::kNone) {
-    co_return AttemptEnd::kCancelled;
+    co_return AttemptOutcome::kCancelled;
   }
   if (migration_target_) {
     const routing::Replica target = *migration_target_;
     migration_target_.reset();
     const bool moved = co_await migrate(target);
     if (!moved) {
-      co_return AttemptEnd::kFailed;
+      co_return AttemptOutcome::kFailed;
     }
     co_return std::nullopt;
   }
   core::Result<ports::StreamItem> item = co_await stream_->next();
   if (stop_ != Stop::kNone) {
-    co_return AttemptEnd::kCancelled;
+    co_return AttemptOutcome::kCancelled;
   }
   if (item) {
     if (const auto* chunk = std::get_if<ports::TokenChunk>(&*item)) {
-      co_return take(*chunk);
+      co_return handle(*chunk);
     }
-    co_return take(std::get<ports::StreamEnd>(*item));
+    co_return handle(std::get<ports::StreamEnd>(*item));
   }
   if (migration_target_) {
-    co_return std::nullopt;  // interrupted for it
+    co_return std::nullopt;  // reading was interrupted to migrate
   }
   if (item.error().code == ErrorCode::kFenced) {
-    co_return AttemptEnd::kFenced;
+    co_return AttemptOutcome::kFenced;
   }
   const bool resumed = co_await resume();
-  co_return resumed ? std::nullopt : std::optional(AttemptEnd::kFailed);
+  co_return resumed ? std::nullopt : std::optional(AttemptOutcome::kFailed);
 }
 
-std::optional<AttemptEnd> Attempt::take(const ports::TokenChunk& chunk) {
+std::optional<AttemptOutcome> Attempt::handle(const ports::TokenChunk& chunk) {
   const rollout::GeneratedChunk generated{chunk.offset, chunk.token_count, chunk.text,
                                           chunk.version};
   context_.metrics.tokens_received.Increment(chunk.token_count);
   if (content_.add(generated)) {
-    return AttemptEnd::kUnfit;
+    return AttemptOutcome::kDefective;
   }
-  if (!order_.adopted) {  // an adopted stream begins with what was made long ago
-    context_.engines.saw_version(order_.engine.id, *chunk.version);
+  if (!order_.adopted) {  // an adopted stream may begin with old versions
+    context_.engines.record_version(order_.engine.id, *chunk.version);
   }
   if (first_token_count_ == 0 && content_.token_count() > 0) {
     first_token_at_ = context_.now();
@@ -160,11 +160,11 @@
   return std::nullopt;
 }
 
-AttemptEnd Attempt::take(const ports::StreamEnd& end) {
+AttemptOutcome Attempt::handle(const ports::StreamEnd& end) {
   if (end.reason == ports::FinishReason::kCancelled) {
-    return AttemptEnd::kFailed;
+    return AttemptOutcome::kFailed;
   }
-  return content_.finish(end.token_count) ? AttemptEnd::kUnfit : AttemptEnd::kFinished;
+  return content_.finish(end.token_count) ? AttemptOutcome::kDefective : AttemptOutcome::kFinished;
 }
 
 asio::awaitable<bool> Attempt::resume() {
@@ -188,7 +188,7 @@
         core::backoff_delay(settings.backoff, attempt - 1, context_.random);
     co_await runtime::sleep_for(pause);
   }
-  context_.engines.refused(order_.engine.id, std::nullopt);
+  context_.engines.record_refusal(order_.engine.id, std::nullopt);
   co_return false;
 }
 
@@ -197,17 +197,17 @@
   const auto source_engine = client();
   core::Result<ports::KvExport> exported = co_await source_engine->export_kv(stream_id_);
   if (!exported) {
-    // Not exported, or the answer was lost: reading on shows which.
+    // Either not exported, or the response was lost; resuming shows which.
     context_.metrics.migrations_failed.Increment();
     co_return co_await resume();
   }
-  // The engine may be ahead of what was read: go on where reading stopped.
+  // The engine may be ahead of the reader: continue where reading stopped.
   exported->token_count = content_.token_count();
   const routing::Replica source = order_.engine;
   StreamResult imported = co_await import_at(*exported, source, target);
   if (imported) {
     context_.metrics.streams_migrated.Increment();
-    move_usage(source.id, target.id);
+    move_load(source.id, target.id);
     order_.engine = std::move(target);
     stream_ = std::move(*imported);
     co_return true;
@@ -231,7 +231,7 @@
   co_return co_await engine->import_kv(std::move(exported), from.address, order_.deadline);
 }
 
-void Attempt::move_usage(const core::ReplicaId& from, const core::ReplicaId& to) {
+void Attempt::move_load(const core::ReplicaId& from, const core::ReplicaId& to) {
   context_.engines.stream_ended(from, routing::LoadSignal::kNeutral);
   context_.engines.stream_started(to);
 }
--- a/src/steps/attempt.hpp
+++ b/src/steps/attempt.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// One attempt at one slot: a stream on an engine, read to its end over cuts and
-/// moves. Steps thread.
+/// One attempt to generate the sample of a slot: a stream on an engine, which is read to its end
+/// across disconnects and migrations. Used on the steps thread.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,43 +13,44 @@
 
 namespace stoneport::steps {
 
-/// How an attempt ended.
-enum class AttemptEnd {
-  kFinished,   ///< the stream ended whole; text and spans are in the attempt
-  kRefused,    ///< the engine did not start it
-  kFailed,     ///< the stream was lost, cancelled there, or could not be read on
-  kUnfit,      ///< versions cannot be stated
+/// Outcome of an attempt.
+enum class AttemptOutcome {
+  kFinished,   ///< the stream is complete; text and spans are in content()
+  kRefused,    ///< the engine did not start the stream
+  kFailed,     ///< the stream was lost, cancelled on the engine, or could not be resumed
+  kDefective,  ///< the stream has a SampleDefect, such as a chunk without a version
   kFenced,     ///< an engine has seen a higher epoch for this step
-  kCancelled,  ///< by our own side
+  kCancelled,  ///< cancelled or detached by this daemon
 };
 
+/// Generates one sample on an engine.
 class Attempt : public std::enable_shared_from_this<Attempt> {
  public:
   struct Order {
     rollout::StreamName name;
-    /// Where it runs, or for a new stream shall run.
+    /// Engine of the stream, or for a new stream the one to start it on.
     routing::Replica engine;
     ports::GenerationRequest request;
-    /// The stream exists already, begun by an earlier owner of the step.
+    /// Whether the stream already exists, begun by an earlier owner of the step.
     bool adopted = false;
     core::MonotonicTime deadline;
   };
 
-  /// Counts as a stream of its engine from here on, so that the next placement
-  /// sees it, until run() ends.
+  /// Counts as a stream of its engine from construction until run() ends, so that the next
+  /// placement takes it into account.
   Attempt(StepContext& context, Order order);
 
-  /// Runs to the end; called once, always.
-  boost::asio::awaitable<AttemptEnd> run();
+  /// Runs the attempt to its end. Must be called exactly once.
+  boost::asio::awaitable<AttemptOutcome> run();
 
-  /// Stops it, on the engine as well.
+  /// Cancels the attempt and its stream on the engine.
   void cancel();
-  /// Stops reading and leaves the stream to whoever owns the step now.
+  /// Stops reading and leaves the stream on the engine for the step's new owner.
   void detach();
-  /// Moves the stream to \p target by its cache; where that fails it goes on as
-  /// it was, or ends in kFailed.
+  /// Migrates the stream and its KV cache to \p target. On failure the stream continues where it
+  /// is, or the attempt ends with kFailed.
   void migrate_to(routing::Replica target);
-  /// Raises the stream's priority, once.
+  /// Raises the stream's priority. Has an effect only once.
   void raise_priority(std::int32_t by);
 
   const rollout::StreamName& name() const { return order_.name; }
@@ -62,23 +63,23 @@
   bool is_raised() const { return raised_; }
   bool is_reading() const { return reading_; }
   std::uint32_t migrations() const { return migrations_; }
-  /// \return since the first token read; zero before the second chunk.
+  /// \return the token rate since the first chunk; zero before the second one.
   double tokens_per_second() const;
 
  private:
   using StreamResult = core::Result<std::unique_ptr<ports::TokenStream>>;
   enum class Stop { kNone, kCancel, kDetach };
 
-  boost::asio::awaitable<std::optional<AttemptEnd>> open();
-  boost::asio::awaitable<std::optional<AttemptEnd>> read();
+  boost::asio::awaitable<std::optional<AttemptOutcome>> open();
+  boost::asio::awaitable<std::optional<AttemptOutcome>> read();
   boost::asio::awaitable<bool> resume();
   boost::asio::awaitable<bool> migrate(routing::Replica target);
   boost::asio::awaitable<StreamResult> import_at(ports::KvExport exported, routing::Replica from,
                                                  routing::Replica target);
-  std::optional<AttemptEnd> take(const ports::TokenChunk& chunk);
-  AttemptEnd take(const ports::StreamEnd& end);
+  std::optional<AttemptOutcome> handle(const ports::TokenChunk& chunk);
+  AttemptOutcome handle(const ports::StreamEnd& end);
   void interrupt();
-  void move_usage(const core::ReplicaId& from, const core::ReplicaId& to);
+  void move_load(const core::ReplicaId& from, const core::ReplicaId& to);
   void cancel_at(const routing::Replica& replica);
   std::shared_ptr<ports::ModelEngine> client() const;
 
--- a/src/steps/dependencies.hpp
+++ b/src/steps/dependencies.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the steps of a daemon need from the rest of it. All calls are made on
-/// the steps thread; an implementation that works elsewhere moves over itself.
+/// Dependencies of the steps on the rest of the daemon. All calls are made on the steps thread;
+/// implementations that run on another thread must switch to it themselves.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -20,46 +20,46 @@
 
 namespace stoneport::steps {
 
-/// Publishes policy versions: to the weight store and to the daemons.
+/// Publishes policy versions to the weight store and the daemons.
 class PolicyPublisher {
  public:
   virtual ~PolicyPublisher() = default;
   virtual boost::asio::awaitable<core::Result<void>> publish(core::PolicyName policy,
                                                              core::WeightVersion version,
                                                              std::uint64_t size_bytes) = 0;
-  /// \return the newest version that this daemon has heard of, zero when none.
+  /// \return the newest version known to this daemon, or zero when none is.
   virtual core::WeightVersion newest(const core::PolicyName& policy) const = 0;
 };
 
-/// Grants epochs from the table service.
+/// Acquires epochs from the table service.
 class EpochSource {
  public:
   virtual ~EpochSource() = default;
-  /// \return an epoch above every one granted before, to any daemon.
+  /// \return an epoch higher than any granted before to any daemon.
   virtual boost::asio::awaitable<core::Result<core::Epoch>> acquire() = 0;
 };
 
-/// Times and limits of the steps. The defaults are for production; tests shorten them.
+/// Timeouts and limits of the steps. The defaults are for production; tests shorten them.
 struct StepSettings {
   core::Duration sweep_interval = std::chrono::milliseconds(50);
   core::Duration straggler_interval = std::chrono::milliseconds(500);
-  /// A step whose trainer does not poll starts after this long all the same.
+  /// Time after which a step starts even if its trainer has not polled.
   core::Duration start_grace = std::chrono::milliseconds(500);
-  core::Duration longest_wait = std::chrono::seconds(60);  ///< of one long poll
-  /// Step deadlines without a word from the trainer until a step is given up.
+  core::Duration max_poll_wait = std::chrono::seconds(60);  ///< maximum wait of a long poll
+  /// Number of step deadlines without contact from the trainer after which a step is abandoned.
   std::uint32_t abandon_after_deadlines = 2;
-  /// A replacement waits this long for its first routing table.
-  core::Duration routing_limit = std::chrono::seconds(10);
-  core::Duration rebuild_limit = std::chrono::seconds(2);  ///< for engines to list streams
+  /// Maximum time that a replacement daemon waits for its first routing table.
+  core::Duration routing_timeout = std::chrono::seconds(10);
+  core::Duration recovery_timeout = std::chrono::seconds(2);  ///< for engines to list their streams
   core::Duration score_timeout = std::chrono::seconds(10);
   core::BackoffSettings backoff;
   std::uint32_t resume_tries = 3;
-  std::uint32_t most_open_steps = 64;
-  core::Duration retry_after = std::chrono::seconds(1);  ///< told to refused trainers
+  std::uint32_t max_open_steps = 64;
+  core::Duration retry_after = std::chrono::seconds(1);  ///< sent to refused trainers
 };
 
 struct StepDependencies {
-  boost::asio::any_io_executor executor;  ///< of the steps thread
+  boost::asio::any_io_executor executor;  ///< executor of the steps thread
   std::shared_ptr<runtime::SnapshotView<config::Configuration>> configuration;
   std::shared_ptr<runtime::SnapshotView<routing::RoutingTable>> routing;
   ports::ModelEngineFactory& engines;
@@ -71,8 +71,8 @@
   core::NodeId node;
   std::uint64_t seed = 0;
   StepSettings settings;
-  core::ZoneName zone;      ///< where this process runs; engines nearby come first
-  core::RegionName region;  ///< where this process runs
+  core::ZoneName zone;      ///< zone of this process; nearby engines are preferred
+  core::RegionName region;  ///< region of this process
 };
 
 }  // namespace stoneport::steps
--- a/src/steps/engine_chooser.cpp
+++ b/src/steps/engine_chooser.cpp
@@ -23,7 +23,7 @@
                                           const std::vector<rollout::EngineCandidate>& candidates) {
   const auto table = context_.dependencies.routing->get();
   std::vector<const routing::Replica*> replicas;
-  // Both are in order of id.
+  // Both lists are sorted by id.
   auto next = candidates.begin();
   for (const routing::Replica& replica : table->models.at(model_)) {
     if (next != candidates.end() && next->id == replica.id) {
@@ -40,7 +40,7 @@
   request.group = routing::prompt_group(text);
   const routing::Choice choice = chooser_.choose(options, request, context_.now());
   if (choice.outcome != routing::ChoiceOutcome::kChosen) {
-    return otherwise_.choose(prompt, candidates);
+    return fallback_.choose(prompt, candidates);
   }
   options[choice.index].load->recent_prefixes().add(prefixes, context_.now());
   return options[choice.index].replica->id;
--- a/src/steps/engine_chooser.hpp
+++ b/src/steps/engine_chooser.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Chooses the engine of a group by the router's costs: load, zone, and what of
-/// the prompt is cached where. Steps thread.
+/// Chooses the engine of a group by the router's cost function: load, zone and cached prompt
+/// prefixes. Used on the steps thread.
 #pragma once
 
 #include <string>
@@ -14,7 +14,7 @@
 
 class CostEngineChooser : public rollout::EngineChooser {
  public:
-  /// \param prompts of the step, which outlive the chooser
+  /// \param prompts prompts of the step; must outlive the chooser
   CostEngineChooser(StepContext& context, core::ModelName model,
                     const std::vector<std::string>& prompts);
 
@@ -26,8 +26,8 @@
   core::ModelName model_;
   const std::vector<std::string>& prompts_;
   routing::CostChooser chooser_;
-  /// Where the router's rules leave none, for example when all are suspect.
-  rollout::LeastLoadedChooser otherwise_;
+  /// Used when the router's rules exclude all engines, for example because all are suspect.
+  rollout::LeastLoadedChooser fallback_;
 };
 
 }  // namespace stoneport::steps
--- a/src/steps/engine_directory.cpp
+++ b/src/steps/engine_directory.cpp
@@ -7,11 +7,12 @@
 namespace stoneport::steps {
 namespace {
 
-/// Own streams at one engine, as a multiple of what it runs at once. Some wait
-/// there so that its batch stays full; more would wait without being movable.
-constexpr double kMostStreamsPerPlace = 1.25;
+/// Maximum number of this daemon's streams on an engine, as a multiple of its max_running. Some
+/// queue there to keep its batch full; more would only queue without the option to place them
+/// elsewhere.
+constexpr double kMaxStreamsPerSlot = 1.25;
 
-/// How long a version seen in a stream stands for an engine without a newer report.
+/// Time for which a version seen in a stream is used for an engine without a newer report.
 constexpr core::Duration kSeenVersionLifetime = std::chrono::seconds(2);
 
 bool takes_new_work(const routing::Replica& replica) {
@@ -30,21 +31,22 @@
   return found == table.models.end() ? nullptr : &found->second;
 }
 
-const EngineDirectory::Usage& EngineDirectory::usage(const core::ReplicaId& replica) const {
-  static const Usage unused;
-  const auto found = usage_.find(replica);
-  return found == usage_.end() ? unused : found->second;
+const EngineDirectory::EngineState& EngineDirectory::state_of(
+    const core::ReplicaId& replica) const {
+  static const EngineState unused;
+  const auto found = states_.find(replica);
+  return found == states_.end() ? unused : found->second;
 }
 
 bool EngineDirectory::is_full(const routing::Replica& replica) {
-  const routing::ReplicaLoad& own = loads_.of(replica.id);
-  if (!own.has_room()) {
+  const routing::ReplicaLoad& load = loads_.of(replica.id);
+  if (!load.has_room()) {
     return true;
   }
   if (!replica.digest || replica.digest->max_running == 0) {
     return false;
   }
-  return own.in_flight() >= kMostStreamsPerPlace * replica.digest->max_running;
+  return load.in_flight() >= kMaxStreamsPerSlot * replica.digest->max_running;
 }
 
 std::vector<rollout::EngineCandidate> EngineDirectory::candidates(const core::ModelName& model) {
@@ -59,12 +61,12 @@
     if (!takes_new_work(replica)) {
       continue;
     }
-    const Usage& own = usage(replica.id);
+    const EngineState& state = state_of(replica.id);
     rollout::EngineCandidate candidate;
     candidate.id = replica.id;
     candidate.in_flight = loads_.of(replica.id).in_flight();
     candidate.suspect = replica.state == routing::ReplicaState::kSuspect;
-    candidate.closed = now < own.closed_until || is_full(replica);
+    candidate.closed = now < state.closed_until || is_full(replica);
     if (replica.digest) {
       candidate.reported = replica.digest->running + replica.digest->waiting;
       candidate.max_running = replica.digest->max_running;
@@ -85,9 +87,9 @@
     return result;
   }
   for (const routing::Replica& replica : *known) {
-    const Usage& own = usage(replica.id);
+    const EngineState& state = state_of(replica.id);
     const bool is_open = replica.state == routing::ReplicaState::kUsable && replica.digest &&
-                         !replica.digest->swapping && now >= own.closed_until;
+                         !replica.digest->swapping && now >= state.closed_until;
     if (!is_open) {
       continue;
     }
@@ -144,41 +146,41 @@
   loads_.of(replica).finished(signal, dependencies_.time.now());
 }
 
-void EngineDirectory::refused(const core::ReplicaId& replica,
-                              std::optional<core::Duration> retry_after) {
+void EngineDirectory::record_refusal(const core::ReplicaId& replica,
+                                     std::optional<core::Duration> retry_after) {
   const StepSettings& settings = dependencies_.settings;
-  Usage& own = usage_[replica];
+  EngineState& state = states_[replica];
   const core::MonotonicTime now = dependencies_.time.now();
-  if (now < own.closed_until) {
-    return;  // one refusal for all streams that were on their way
+  if (now < state.closed_until) {
+    return;  // concurrent streams refused together count as one refusal
   }
-  core::Duration pause = core::backoff_delay(settings.backoff, own.failures++, random_);
+  core::Duration pause = core::backoff_delay(settings.backoff, state.failures++, random_);
   if (retry_after) {
     pause = std::clamp(*retry_after, pause, settings.backoff.longest);
   }
-  own.closed_until = now + pause;
+  state.closed_until = now + pause;
 }
 
-void EngineDirectory::saw_version(const core::ReplicaId& replica, core::WeightVersion version) {
-  Usage& own = usage_[replica];
-  own.seen_version = version;
-  own.seen_at = dependencies_.time.now();
+void EngineDirectory::record_version(const core::ReplicaId& replica, core::WeightVersion version) {
+  EngineState& state = states_[replica];
+  state.seen_version = version;
+  state.seen_at = dependencies_.time.now();
 }
 
 std::optional<core::WeightVersion> EngineDirectory::version_of(
     const routing::Replica& replica) const {
-  const Usage& own = usage(replica.id);
+  const EngineState& state = state_of(replica.id);
   const bool is_recent =
-      own.seen_version && dependencies_.time.now() - own.seen_at < kSeenVersionLifetime;
-  if (is_recent && (!replica.digest || replica.digest->taken_at < own.seen_at)) {
-    return own.seen_version;
+      state.seen_version && dependencies_.time.now() - state.seen_at < kSeenVersionLifetime;
+  if (is_recent && (!replica.digest || replica.digest->taken_at < state.seen_at)) {
+    return state.seen_version;
   }
   return replica.digest ? std::optional(replica.digest->version) : std::nullopt;
 }
 
-void EngineDirectory::worked(const core::ReplicaId& replica) {
-  Usage& own = usage_[replica];
-  own.failures = 0;
+void EngineDirectory::record_success(const core::ReplicaId& replica) {
+  EngineState& state = states_[replica];
+  state.failures = 0;
 }
 
 }  // namespace stoneport::steps
--- a/src/steps/engine_directory.hpp
+++ b/src/steps/engine_directory.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The engines as the steps of this daemon see them: the routing table plus what
-/// the steps know first-hand, their own streams and refusals. Steps thread.
+/// Engines available to the steps of this daemon: the routing table combined with the steps' own
+/// streams and refusals. Used on the steps thread.
 #pragma once
 
 #include <map>
@@ -20,14 +20,14 @@
  public:
   EngineDirectory(const StepDependencies& dependencies, core::RandomSource& random);
 
-  /// \return every engine of \p model that may get new streams; none while the
-  /// routing table is not known to be current.
+  /// \return all engines of \p model that may get new streams; empty while the routing table is
+  /// not known to be current.
   std::vector<rollout::EngineCandidate> candidates(const core::ModelName& model);
-  /// \return engines of \p model with room for a moved stream and weights that
-  /// \p rule allows, given their reports.
+  /// \return the engines of \p model that, according to their reports, have capacity for a
+  /// migrated stream and weights that \p rule allows.
   std::vector<rollout::MigrationTarget> migration_targets(const core::ModelName& model,
                                                           const rollout::AgeRule& rule);
-  /// \return every engine of \p model that is not down, leaving ones included.
+  /// \return all engines of \p model that are not down, including draining ones.
   std::vector<routing::Replica> all(const core::ModelName& model) const;
   std::optional<routing::Replica> find(const core::ModelName& model,
                                        const core::ReplicaId& replica) const;
@@ -35,17 +35,18 @@
 
   void stream_started(const core::ReplicaId& replica);
   void stream_ended(const core::ReplicaId& replica, routing::LoadSignal signal);
-  /// \p replica refused or failed a stream: nothing new goes there for a while.
-  void refused(const core::ReplicaId& replica, std::optional<core::Duration> retry_after);
-  void worked(const core::ReplicaId& replica);
-  /// \p replica has just made tokens under \p version. Its reports lag, and a
-  /// daemon that was just started has none.
-  void saw_version(const core::ReplicaId& replica, core::WeightVersion version);
-  /// This daemon's own streams and recent prompts, by engine.
+  /// Records that \p replica refused or failed a stream. It gets no new streams until a backoff
+  /// delay has passed.
+  void record_refusal(const core::ReplicaId& replica, std::optional<core::Duration> retry_after);
+  void record_success(const core::ReplicaId& replica);
+  /// Records that \p replica generated tokens with \p version. Its reports lag behind, and a
+  /// newly started daemon has none.
+  void record_version(const core::ReplicaId& replica, core::WeightVersion version);
+  /// Returns this daemon's own streams and recent prompts by engine.
   routing::ReplicaLoads& loads() { return loads_; }
 
  private:
-  struct Usage {
+  struct EngineState {
     std::uint32_t failures = 0;
     core::MonotonicTime closed_until{};
     std::optional<core::WeightVersion> seen_version;
@@ -54,13 +55,13 @@
 
   const std::vector<routing::Replica>* replicas(const routing::RoutingTable& table,
                                                 const core::ModelName& model) const;
-  const Usage& usage(const core::ReplicaId& replica) const;
+  const EngineState& state_of(const core::ReplicaId& replica) const;
   std::optional<core::WeightVersion> version_of(const routing::Replica& replica) const;
   bool is_full(const routing::Replica& replica);
 
   const StepDependencies& dependencies_;
   core::RandomSource& random_;
-  std::map<core::ReplicaId, Usage> usage_;
+  std::map<core::ReplicaId, EngineState> states_;
   routing::ReplicaLoads loads_;
 };
 
--- a/src/steps/policy_tracker.cpp
+++ b/src/steps/policy_tracker.cpp
@@ -6,7 +6,7 @@
   Entry& entry = policies_[policy];
   if (version > entry.current) {
     entry.current = version;
-    entry.rhythm.published(version, dependencies_.time.now());
+    entry.publication_rate.published(version, dependencies_.time.now());
   }
 }
 
--- a/src/steps/policy_tracker.hpp
+++ b/src/steps/policy_tracker.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The trainer's current version of each policy and the rhythm of publications.
-/// Steps thread.
+/// Tracks the trainer's current version of each policy and how often it publishes. Used on the
+/// steps thread.
 #pragma once
 
 #include <map>
@@ -14,18 +14,18 @@
  public:
   explicit PolicyTracker(const StepDependencies& dependencies) : dependencies_(dependencies) {}
 
-  /// The trainer said that \p version is its current one, or published it.
+  /// Records that the trainer published \p version or reported it as its current one.
   void observe(const core::PolicyName& policy, core::WeightVersion version);
-  /// \return the highest version that the trainer or another daemon named.
+  /// \return the highest version reported by the trainer or another daemon.
   core::WeightVersion current(const core::PolicyName& policy);
-  const rollout::PublicationRhythm& rhythm(const core::PolicyName& policy) {
-    return policies_[policy].rhythm;
+  const rollout::PublicationRate& publication_rate(const core::PolicyName& policy) {
+    return policies_[policy].publication_rate;
   }
 
  private:
   struct Entry {
     core::WeightVersion current;
-    rollout::PublicationRhythm rhythm;
+    rollout::PublicationRate publication_rate;
   };
   const StepDependencies& dependencies_;
   std::map<core::PolicyName, Entry> policies_;
--- a/src/steps/signal.cpp
+++ b/src/steps/signal.cpp
@@ -7,7 +7,7 @@
 namespace asio = boost::asio;
 namespace {
 
-/// Keeps a timer in the set for as long as its coroutine waits.
+/// Keeps a timer in the set while its coroutine is waiting.
 class Registration {
  public:
   Registration(std::set<asio::steady_timer*>& timers, asio::steady_timer& timer)
--- a/src/steps/signal.hpp
+++ b/src/steps/signal.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Wakes coroutines that wait for a change of state. One thread only.
+/// Wakes coroutines that wait for a state change. Not thread-safe.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -11,13 +11,14 @@
 
 namespace stoneport::steps {
 
-/// A waiter checks its condition again after waiting: it may wake for nothing.
+/// Condition variable for coroutines. Wake-ups may be spurious, so waiters must check their
+/// condition again.
 class Signal {
  public:
   explicit Signal(boost::asio::any_io_executor executor) : executor_(std::move(executor)) {}
-  /// Wakes all that wait now.
+  /// Wakes all current waiters.
   void notify();
-  /// Waits for the next notify(), at most \p length.
+  /// Waits for the next notify(), for at most \p length.
   boost::asio::awaitable<void> wait_for(core::Duration length);
 
  private:
--- a/src/steps/step_context.hpp
+++ b/src/steps/step_context.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What all steps of a daemon share. Owned by the StepService, steps thread.
+/// State shared by all steps of a daemon. Owned by the StepService and used on the steps thread.
 #pragma once
 
 #include <map>
@@ -13,25 +13,26 @@
 
 namespace stoneport::steps {
 
-/// What the steps of one event leave for the later ones.
+/// Statistics of one event's earlier steps, used by its later ones.
 struct EventHistory {
-  std::vector<std::uint64_t> lengths;  ///< of the last finished step's samples
-  core::Duration run_length{};         ///< of one attempt, smoothed
-  std::uint32_t in_flight = 0;         ///< streams of all steps of the event
-  core::Duration step_length{};        ///< from first start to completion, smoothed
+  std::vector<std::uint64_t> lengths;  ///< token counts of the samples of the last finished step
+  core::Duration run_length{};         ///< smoothed duration of an attempt
+  std::uint32_t in_flight = 0;         ///< number of streams in all steps of the event
+  core::Duration step_length{};  ///< smoothed time from the first start to completion of a step
   std::uint64_t steps_completed = 0;
-  /// The trainer's version when the first of these was complete.
+  /// The trainer's version when the first step was completed.
   core::WeightVersion counted_from;
 
-  /// \return complete steps that the trainer has not trained on: each of its
-  /// publications ends the training of one.
-  std::uint64_t steps_in_hand(core::WeightVersion current) const {
+  /// \return the number of complete steps that the trainer has not trained on. Each publication
+  /// ends the training of one step.
+  std::uint64_t untrained_steps(core::WeightVersion current) const {
     const std::uint64_t trained =
         current > counted_from ? current.value() - counted_from.value() : 0;
     return steps_completed > trained ? steps_completed - trained : 0;
   }
 };
 
+/// Dependencies and shared state of the steps.
 struct StepContext {
   explicit StepContext(StepDependencies given)
       : dependencies(std::move(given)),
@@ -43,7 +44,7 @@
   StepContext(const StepContext&) = delete;
   StepContext& operator=(const StepContext&) = delete;
 
-  /// \return a number that no other process, nor this one before a restart, has.
+  /// \return a number that, barring hash collisions, is different for each process and restart.
   static std::uint32_t draw_owner(const StepDependencies& given) {
     const auto started =
         static_cast<std::uint64_t>(given.time.wall_now().time_since_epoch().count());
@@ -55,7 +56,7 @@
   StepDependencies dependencies;
   StepMetrics metrics;
   core::RandomSource random;
-  std::uint32_t owner;  ///< of this process's streams
+  std::uint32_t owner;  ///< owner number in the names of this process's streams
   EngineDirectory engines;
   PolicyTracker policies;
   std::map<core::EventName, EventHistory> events;
--- a/src/steps/step_metrics.cpp
+++ b/src/steps/step_metrics.cpp
@@ -14,7 +14,8 @@
   return metrics.counter("stoneport_samples_total", "Samples by event", {{"event", event}});
 }
 prometheus::Counter& attempts(core::Metrics& metrics, const std::string& event) {
-  return metrics.counter("stoneport_attempts_total", "Generations by event", {{"event", event}});
+  return metrics.counter("stoneport_attempts_total", "Attempts to generate a sample, by event",
+                         {{"event", event}});
 }
 
 }  // namespace
@@ -25,9 +26,10 @@
       steps_fenced(steps(metrics, "fenced")),
       steps_cancelled(steps(metrics, "cancelled")),
       steps_abandoned(steps(metrics, "abandoned")),
-      steps_open(metrics.gauge("stoneport_steps_open", "Steps in memory")),
+      steps_open(metrics.gauge("stoneport_steps_open", "Open rollout steps")),
       polls(counter(metrics, "trainer_polls", "Polls by trainers")),
-      polls_replaced(counter(metrics, "trainer_polls_replaced", "Polls ended by a newer one")),
+      polls_replaced(counter(metrics, "trainer_polls_replaced",
+                             "Long polls ended by a newer poll of the same step")),
       samples_accepted(samples(metrics, "accepted")),
       samples_handed_over(samples(metrics, "handed_over")),
       samples_duplicate(samples(metrics, "duplicate")),
@@ -37,18 +39,20 @@
       attempts_adopted(attempts(metrics, "adopted")),
       streams_found_cancelled(
           counter(metrics, "streams_found_cancelled",
-                  "Streams of an earlier owner that were left because they were cancelled")),
+                  "Streams of an earlier owner that were not adopted because they were cancelled")),
       attempts_refused(attempts(metrics, "refused")),
       attempts_failed(attempts(metrics, "failed")),
       attempts_cancelled_too_old(attempts(metrics, "cancelled_too_old")),
       attempts_cancelled_unneeded(attempts(metrics, "cancelled_unneeded")),
-      streams_resumed(counter(metrics, "streams_resumed", "Streams resumed after a cut")),
-      streams_migrated(counter(metrics, "streams_migrated", "Streams moved between engines")),
-      migrations_failed(counter(metrics, "migrations_failed", "Streams that could not be moved")),
-      priority_raises(counter(metrics, "priority_raises", "Streams raised in priority")),
-      scoring_retries(counter(metrics, "scoring_retries", "Scoring calls made again")),
-      placements_deferred(counter(metrics, "placements_deferred", "Samples without an engine")),
-      orders_failed(counter(metrics, "stream_orders_failed", "Cancels and priorities refused")),
+      streams_resumed(counter(metrics, "streams_resumed", "Streams resumed after a disconnect")),
+      streams_migrated(counter(metrics, "streams_migrated", "Streams migrated between engines")),
+      migrations_failed(counter(metrics, "migrations_failed", "Failed migrations of streams")),
+      priority_raises(counter(metrics, "priority_raises", "Streams whose priority was raised")),
+      scoring_retries(counter(metrics, "scoring_retries", "Retried scoring calls")),
+      placements_deferred(counter(metrics, "placements_deferred",
+                                  "Placements deferred because no engine was available")),
+      orders_failed(counter(metrics, "stream_orders_failed",
+                            "Failed cancel and priority requests to engines")),
       tokens_received(counter(metrics, "tokens_received", "Tokens read from engines")),
       tokens_dropped(counter(metrics, "tokens_dropped", "Tokens of attempts without a sample")) {}
 
--- a/src/steps/step_metrics.hpp
+++ b/src/steps/step_metrics.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Counters of the steps, looked up once.
+/// Metrics of the steps.
 #pragma once
 
 #include "core/metrics.hpp"
@@ -18,7 +18,7 @@
   prometheus::Counter& polls;
   prometheus::Counter& polls_replaced;
   prometheus::Counter& samples_accepted;
-  prometheus::Counter& samples_handed_over;  ///< repeats after lost answers included
+  prometheus::Counter& samples_handed_over;  ///< including repeats after lost responses
   prometheus::Counter& samples_duplicate;
   prometheus::Counter& samples_too_old;
   prometheus::Counter& samples_unfit;
@@ -35,9 +35,9 @@
   prometheus::Counter& priority_raises;
   prometheus::Counter& scoring_retries;
   prometheus::Counter& placements_deferred;
-  prometheus::Counter& orders_failed;  ///< cancels and priorities that engines did not take
+  prometheus::Counter& orders_failed;  ///< cancel and priority requests that failed
   prometheus::Counter& tokens_received;
-  prometheus::Counter& tokens_dropped;  ///< of attempts that gave no sample
+  prometheus::Counter& tokens_dropped;  ///< tokens of attempts without a sample
 };
 
 }  // namespace stoneport::steps
--- a/src/steps/step_plan.hpp
+++ b/src/steps/step_plan.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What one step is to produce, fixed when it is opened.
+/// Specification of one step, fixed when it is opened.
 #pragma once
 
 #include <optional>
@@ -11,8 +11,8 @@
 
 namespace stoneport::steps {
 
-/// What tells one step from another under the same number. The trainer's current
-/// version is no part of it: it may have grown when a step is opened again.
+/// Content that distinguishes steps with the same number. The trainer's current version is not
+/// part of it, because it may have increased when a step is reopened.
 struct StepContent {
   std::vector<std::string> prompts;
   std::uint32_t samples_per_prompt = 0;
@@ -21,26 +21,27 @@
   rollout::StepShape shape() const {
     return {static_cast<std::uint32_t>(prompts.size()), samples_per_prompt};
   }
-  /// \return a digest for stream identifiers.
+  /// \return a digest of the content, used in stream identifiers.
   std::uint32_t digest() const;
 };
 
-/// Parameters of the event in force, as one value: the configuration that they
-/// come from may be replaced at any time.
+/// Copy of an event's current template and parameters. The configuration that they come from may
+/// be replaced at any time.
 struct EventRules {
   config::EventTemplate event_template;
   config::TenantParameters parameters;
 };
 
+/// Identity, epoch and content of one step.
 struct StepPlan {
   core::EventName event;
   core::StepNumber step;
   core::Epoch epoch;
-  bool taken_over = false;  ///< look for streams of an earlier owner
+  bool taken_over = false;  ///< whether to search for streams of an earlier owner
   StepContent content;
 };
 
-/// \return the rules of \p event, or nothing when it is not in force.
+/// \return the rules of \p event, or nothing when it is not in the current configuration.
 std::optional<EventRules> find_rules(const StepDependencies& dependencies,
                                      const core::EventName& event);
 
--- a/src/steps/step_runner.cpp
+++ b/src/steps/step_runner.cpp
@@ -8,23 +8,22 @@
 namespace asio = boost::asio;
 namespace {
 
-/// After the last samples were handed over, how long a trainer that does not
-/// come back is waited for.
+/// How long a draining daemon waits, after handing over the last samples, for a trainer that may
+/// need the response again.
 constexpr core::Duration kRepeatWindow = std::chrono::seconds(2);
 
-/// A trainer that polled before and has not for this long is taken as gone by a
-/// daemon that wants to leave.
+/// Time without a poll after which a draining daemon considers the trainer gone.
 constexpr core::Duration kSilentTrainer = std::chrono::seconds(10);
 
-const char* name_of(StepStop reason) {
+const char* name_of(StepStopReason reason) {
   switch (reason) {
-    case StepStop::kCancelled:
+    case StepStopReason::kCancelled:
       return "cancelled";
-    case StepStop::kClosed:
+    case StepStopReason::kClosed:
       return "closed";
-    case StepStop::kFenced:
+    case StepStopReason::kFenced:
       return "fenced";
-    case StepStop::kAbandoned:
+    case StepStopReason::kAbandoned:
       return "abandoned";
   }
   return "unknown";
@@ -41,9 +40,10 @@
       opened_at_(context.dependencies.time.wall_now()) {}
 
 StepWork::Listener StepRunner::listener() {
-  // The work calls only until it is stopped, and stop() is called before this
-  // object goes: its sweeps hold it until then.
-  return StepWork::Listener{[this] { changed_.notify(); }, [this] { stop(StepStop::kFenced); }};
+  // Capturing this is safe: the work calls the listener only until it is stopped, and the sweeps
+  // keep this object alive until stop() has been called.
+  return StepWork::Listener{[this] { changed_.notify(); },
+                            [this] { stop(StepStopReason::kFenced); }};
 }
 
 void StepRunner::start() {
@@ -85,7 +85,7 @@
   const core::Duration limit =
       work_->rules().parameters.step_deadline * context_.settings().abandon_after_deadlines;
   if (silence > limit) {
-    stop(completed_at_ ? StepStop::kClosed : StepStop::kAbandoned);
+    stop(completed_at_ ? StepStopReason::kClosed : StepStopReason::kAbandoned);
   }
 }
 
@@ -94,8 +94,8 @@
   context_.metrics.polls.Increment();
   const std::uint64_t number = ++newest_poll_;
   const core::MonotonicTime end =
-      context_.now() + std::min(request.wait, context_.settings().longest_wait);
-  heard_of_trainer();
+      context_.now() + std::min(request.wait, context_.settings().max_poll_wait);
+  record_trainer_contact();
   work_->ledger().acknowledge(request.held);
   work_->resume_starts();
   changed_.notify();
@@ -125,7 +125,7 @@
   rollout::HandOverLimit limit;
   limit.samples = request.max_samples;
   rollout::HandOver handed = work_->ledger().hand_over(request.held, limit, work_->age_rule());
-  heard_of_trainer();
+  record_trainer_contact();
   context_.metrics.samples_handed_over.Increment(static_cast<double>(handed.samples.size()));
   if (handed.complete) {
     note_completion();
@@ -144,7 +144,7 @@
   }
   counted_complete_ = true;
   context_.metrics.steps_completed.Increment();
-  work_->leave_history();
+  work_->save_history();
   spdlog::info("step {}/{}: complete", plan_.event.value(), plan_.step.value());
 }
 
@@ -152,7 +152,7 @@
   if (stopped_) {
     return stop_error();
   }
-  heard_of_trainer();
+  record_trainer_contact();
   work_->ledger().acknowledge(held);
   if (work_->ledger().all_held()) {
     note_completion();
@@ -162,9 +162,9 @@
 }
 
 void StepRunner::reopened() {
-  heard_of_trainer();
+  record_trainer_contact();
   completed_at_.reset();
-  // A poll from before may name samples that the trainer has lost since.
+  // An earlier poll may list samples that the trainer has lost since.
   ++newest_poll_;
   changed_.notify();
   work_->ledger().forget_acknowledgements();
@@ -173,25 +173,25 @@
                  start_after_grace(shared_from_this()));
 }
 
-void StepRunner::stop(StepStop reason) {
+void StepRunner::stop(StepStopReason reason) {
   if (stopped_) {
     return;
   }
   stopped_ = reason;
   spdlog::info("step {}/{}: {}", plan_.event.value(), plan_.step.value(), name_of(reason));
   switch (reason) {
-    case StepStop::kCancelled:
+    case StepStopReason::kCancelled:
       context_.metrics.steps_cancelled.Increment();
       work_->cancel();
       break;
-    case StepStop::kClosed:
+    case StepStopReason::kClosed:
       work_->cancel();
       break;
-    case StepStop::kFenced:
+    case StepStopReason::kFenced:
       context_.metrics.steps_fenced.Increment();
       work_->detach();
       break;
-    case StepStop::kAbandoned:
+    case StepStopReason::kAbandoned:
       context_.metrics.steps_abandoned.Increment();
       work_->detach();
       break;
@@ -199,7 +199,7 @@
   changed_.notify();
 }
 
-void StepRunner::heard_of_trainer() {
+void StepRunner::record_trainer_contact() {
   last_heard_ = context_.now();
 }
 
@@ -232,10 +232,11 @@
 }
 
 core::Error StepRunner::stop_error() const {
-  if (stopped_ == StepStop::kFenced) {
-    return core::make_error(core::ErrorCode::kFenced, "a higher epoch is in force for this step");
+  if (stopped_ == StepStopReason::kFenced) {
+    return core::make_error(core::ErrorCode::kFenced,
+                            "the step has been taken over under a higher epoch");
   }
-  return core::make_error(core::ErrorCode::kNotFound, "no such step is open here");
+  return core::make_error(core::ErrorCode::kNotFound, "the step is not open on this daemon");
 }
 
 }  // namespace stoneport::steps
--- a/src/steps/step_service.cpp
+++ b/src/steps/step_service.cpp
@@ -17,7 +17,7 @@
                                             std::chrono::seconds(30)};
 
 core::Error not_open() {
-  return core::make_error(ErrorCode::kNotFound, "no such step is open here");
+  return core::make_error(ErrorCode::kNotFound, "the step is not open on this daemon");
 }
 
 }  // namespace
@@ -45,7 +45,7 @@
 asio::awaitable<core::Result<void>> StepService::publish(core::PolicyName policy,
                                                          core::WeightVersion version,
                                                          std::uint64_t size_bytes) {
-  // First of all: a sample handed over from now on is judged against it.
+  // Must come first: samples handed over from now on are checked against this version.
   context_.policies.observe(policy, version);
   co_return co_await context_.dependencies.policies.publish(std::move(policy), version, size_bytes);
 }
@@ -53,13 +53,14 @@
 core::Result<void> StepService::admit(const StepKey& key) const {
   const StepSettings& settings = context_.settings();
   if (!rollout::is_valid_event_name(key.event)) {
-    return core::make_error(ErrorCode::kInvalidArgument, "an event's name holds no '/'");
+    return core::make_error(ErrorCode::kInvalidArgument,
+                            "an event name must not be empty or contain '/'");
   }
   if (draining_) {
-    return core::make_error(ErrorCode::kUnavailable, "this daemon is leaving",
+    return core::make_error(ErrorCode::kUnavailable, "this daemon is draining",
                             settings.retry_after);
   }
-  if (runners_.size() >= settings.most_open_steps) {
+  if (runners_.size() >= settings.max_open_steps) {
     return core::make_error(ErrorCode::kRateLimited, "too many steps are open",
                             settings.retry_after);
   }
@@ -70,19 +71,20 @@
   forget_stopped();
   const std::optional<EventRules> rules = find_rules(context_.dependencies, key.event);
   if (!rules) {
-    return core::make_error(ErrorCode::kNotFound, "no such event is in force");
+    return core::make_error(ErrorCode::kNotFound, "the event does not exist");
   }
   context_.policies.observe(rules->parameters.policy, request.policy_version);
   const std::size_t expected = request.content.shape().slot_count();
   if (const auto runner = live(key)) {
     if (runner->plan().content != request.content) {
-      return core::make_error(ErrorCode::kConflict, "the step is open with another body");
+      return core::make_error(ErrorCode::kConflict,
+                              "the step is already open with a different body");
     }
     if (request.epoch_seen <= runner->plan().epoch) {
       runner->reopened();
       return OpenAnswer{runner->plan().epoch, expected};
     }
-    // Another daemon had it in the meantime and the trainer came back.
+    // Another daemon owned the step in the meantime, and the trainer returned to this one.
     fence(key);
   }
   if (const auto admitted = admit(key); !admitted) {
@@ -113,9 +115,9 @@
 }
 
 core::Error StepService::fence(const StepKey& key) {
-  forget(key, StepStop::kFenced);
-  ownership_.lose(key.event);
-  return core::make_error(ErrorCode::kFenced, "a higher epoch is in force for this step");
+  forget(key, StepStopReason::kFenced);
+  ownership_.mark_lost(key.event);
+  return core::make_error(ErrorCode::kFenced, "the step has been taken over under a higher epoch");
 }
 
 void StepService::observe_version(const StepKey& key, core::WeightVersion version) {
@@ -128,7 +130,7 @@
   if (!live(key)) {
     return not_open();
   }
-  forget(key, StepStop::kCancelled);
+  forget(key, StepStopReason::kCancelled);
   return {};
 }
 
@@ -148,11 +150,11 @@
     }
   }
   for (const StepKey& other : completed) {
-    forget(other, StepStop::kClosed);
+    forget(other, StepStopReason::kClosed);
   }
 }
 
-void StepService::forget(const StepKey& key, StepStop reason) {
+void StepService::forget(const StepKey& key, StepStopReason reason) {
   const auto found = runners_.find(key);
   found->second->stop(reason);
   runners_.erase(found);
@@ -161,10 +163,10 @@
 
 void StepService::forget_stopped() {
   std::erase_if(runners_, [this](const auto& entry) {
-    const std::optional<StepStop> stopped = entry.second->stopped();
+    const std::optional<StepStopReason> stopped = entry.second->stopped();
     const bool is_current = entry.second->plan().epoch == ownership_.epoch_of(entry.first.event);
-    if (stopped == StepStop::kFenced && is_current) {
-      ownership_.lose(entry.first.event);
+    if (stopped == StepStopReason::kFenced && is_current) {
+      ownership_.mark_lost(entry.first.event);
     }
     return stopped.has_value();
   });
--- a/src/steps/step_work.cpp
+++ b/src/steps/step_work.cpp
@@ -16,7 +16,7 @@
 using core::SlotId;
 namespace {
 
-/// Ends a found stream that nobody needs; it was cancelled before.
+/// Runs an unneeded attempt, which has already been cancelled, to its end.
 asio::awaitable<void> run_unneeded(std::shared_ptr<Attempt> attempt) {
   co_await attempt->run();
 }
@@ -62,7 +62,7 @@
 
 asio::awaitable<void> StepWork::wait_for_engines(std::shared_ptr<StepWork> self) {
   StepContext& context = self->context_;
-  const core::MonotonicTime limit = context.now() + context.settings().routing_limit;
+  const core::MonotonicTime limit = context.now() + context.settings().routing_timeout;
   const auto knows_engines = [&] {
     return !context.engines.all(self->rules_.event_template.model).empty();
   };
@@ -111,7 +111,7 @@
   start_idle();
   if (context_.now() >= next_straggler_check_) {
     next_straggler_check_ = context_.now() + context_.settings().straggler_interval;
-    look_after_stragglers();
+    handle_stragglers();
   }
 }
 
@@ -155,8 +155,8 @@
       attempt->cancel();
       context_.metrics.attempts_cancelled_too_old.Increment();
       if (!rule.allows(attempt->content().spans().back().version)) {
-        // It still makes tokens that are too old, whatever its last report said.
-        context_.engines.refused(attempt->engine().id, std::nullopt);
+        // The engine still generates tokens that are too old, whatever its last report says.
+        context_.engines.record_refusal(attempt->engine().id, std::nullopt);
       }
     }
   }
@@ -164,7 +164,7 @@
 
 std::vector<SlotId> StepWork::wanted_slots() {
   std::vector<SlotId> wanted =
-      rollout::order_of_start(ledger_.idle_slots(), group_progress(), usual_length());
+      rollout::order_by_expected_length(ledger_.idle_slots(), group_progress(), usual_length());
   const rollout::StepShape shape = ledger_.shape();
   const std::uint32_t spares =
       rollout::spare_count(shape.samples_per_prompt, rules_.event_template.over_sampling);
@@ -228,7 +228,8 @@
       return candidate.version && *candidate.version < rule.current;
     });
   }
-  const auto chosen = placement_.place(input, context_.policies.rhythm(rules_.parameters.policy));
+  const auto chosen =
+      placement_.place(input, context_.policies.publication_rate(rules_.parameters.policy));
   if (!chosen) {
     return false;
   }
@@ -247,10 +248,11 @@
 bool StepWork::should_wait_for_fresh(const rollout::AgeRule& rule) {
   const EventHistory& history = context_.events[plan_.event];
   rollout::FreshnessInput input;
-  input.steps_in_hand = history.steps_in_hand(rule.current);
+  input.untrained_steps = history.untrained_steps(rule.current);
   input.expected_step = history.step_length;
   input.now = context_.now();
-  return rollout::should_wait_for_fresh(input, context_.policies.rhythm(rules_.parameters.policy));
+  return rollout::should_wait_for_fresh(
+      input, context_.policies.publication_rate(rules_.parameters.policy));
 }
 
 Attempt::Order StepWork::order_for(SlotId slot, std::uint32_t number, routing::Replica engine) {
@@ -270,7 +272,7 @@
   request.max_tokens = rules_.event_template.max_tokens;
   request.priority = rules_.parameters.priority;
   request.temperature = rules_.event_template.temperature;
-  // Engines take seeds of 32 bits at least; not all take more.
+  // All engines accept 32-bit seeds, but not all accept wider ones.
   request.seed = static_cast<std::uint32_t>(
       core::hash64(rollout::to_stream_id(order.name).value(), context_.dependencies.seed));
   request.epoch = plan_.epoch;
@@ -287,11 +289,11 @@
 
 asio::awaitable<void> StepWork::run_attempt(std::shared_ptr<StepWork> self,
                                             std::shared_ptr<Attempt> attempt) {
-  // The caller may be in the middle of a loop over the attempts.
+  // The caller may be iterating over the attempts.
   co_await asio::post(asio::use_awaitable);
-  const AttemptEnd end = co_await attempt->run();
+  const AttemptOutcome end = co_await attempt->run();
   --self->context_.events[self->plan_.event].in_flight;
-  if (end == AttemptEnd::kFinished && !self->stopped_) {
+  if (end == AttemptOutcome::kFinished && !self->stopped_) {
     co_await self->finish(attempt);
   } else {
     self->attempt_failed(*attempt, end);
@@ -299,9 +301,9 @@
   self->attempt_ended(*attempt, end);
 }
 
-void StepWork::attempt_ended(const Attempt& attempt, AttemptEnd end) {
+void StepWork::attempt_ended(const Attempt& attempt, AttemptOutcome end) {
   attempts_.erase({attempt.slot(), attempt.name().attempt});
-  if (end == AttemptEnd::kFenced && !stopped_) {
+  if (end == AttemptOutcome::kFenced && !stopped_) {
     spdlog::warn("step {}/{}: fenced by an engine, epoch {}", plan_.event.value(),
                  plan_.step.value(), plan_.epoch.value());
     listener_.on_fenced();
@@ -309,25 +311,25 @@
   sweep();
 }
 
-void StepWork::attempt_failed(const Attempt& attempt, AttemptEnd end) {
+void StepWork::attempt_failed(const Attempt& attempt, AttemptOutcome end) {
   if (!is_spare(attempt.slot())) {
     ledger_.abandon_attempt(attempt.slot());
   }
   switch (end) {
-    case AttemptEnd::kRefused:
+    case AttemptOutcome::kRefused:
       context_.metrics.attempts_refused.Increment();
       placement_.forget(attempt.slot().prompt);
-      return;  // the engine is closed for a while; the slot may go elsewhere at once
-    case AttemptEnd::kUnfit:
+      return;  // the engine is closed during its backoff; the slot may go elsewhere now
+    case AttemptOutcome::kDefective:
       context_.metrics.samples_unfit.Increment();
       break;
-    case AttemptEnd::kFailed:
+    case AttemptOutcome::kFailed:
       context_.metrics.attempts_failed.Increment();
       placement_.forget(attempt.slot().prompt);
       break;
-    case AttemptEnd::kFinished:
-    case AttemptEnd::kFenced:
-    case AttemptEnd::kCancelled:
+    case AttemptOutcome::kFinished:
+    case AttemptOutcome::kFenced:
+    case AttemptOutcome::kCancelled:
       return;
   }
   Pause& pause = pauses_[attempt.slot()];
@@ -342,10 +344,10 @@
   const std::optional<double> scored = co_await score(std::move(prompt), std::move(completion));
   const bool is_wanted = scored && !stopped_ && !attempt->is_stopping();
   if (!is_wanted) {
-    attempt_failed(*attempt, AttemptEnd::kCancelled);
+    attempt_failed(*attempt, AttemptOutcome::kCancelled);
     co_return;
   }
-  if (enter(*attempt, *scored)) {
+  if (record_sample(*attempt, *scored)) {
     listener_.on_sample();
   }
 }
@@ -371,7 +373,7 @@
   return rollout::slot_for_spare(open);
 }
 
-bool StepWork::enter(const Attempt& attempt, double score) {
+bool StepWork::record_sample(const Attempt& attempt, double score) {
   const std::optional<SlotId> slot = slot_for(attempt);
   if (!slot) {
     context_.metrics.samples_duplicate.Increment();
@@ -414,7 +416,7 @@
                                                   (1 - kNewestWeight) * core::to_seconds(known));
 }
 
-void StepWork::leave_history() {
+void StepWork::save_history() {
   constexpr double kNewestWeight = 0.5;
   EventHistory& history = context_.events[plan_.event];
   const double length = core::to_seconds(context_.now() - first_start_.value_or(context_.now()));
--- a/src/steps/step_work.hpp
+++ b/src/steps/step_work.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Makes the samples of one step: places attempts on engines, keeps them in
-/// bounds, scores what finishes and enters it in the ledger. Steps thread.
+/// Generates the samples of one step: places attempts on engines, cancels those that exceed the
+/// age bound, scores finished samples and enters them in the ledger. Used on the steps thread.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -20,6 +20,7 @@
 
 namespace stoneport::steps {
 
+/// Attempts and ledger of one step.
 class StepWork : public std::enable_shared_from_this<StepWork> {
  public:
   struct Listener {
@@ -29,24 +30,23 @@
 
   StepWork(StepContext& context, StepPlan plan, EventRules rules, Listener listener);
 
-  /// Looks for an earlier owner's streams where the plan says so, then starts.
+  /// Searches for streams of an earlier owner if the plan requires it, then starts generating.
   static boost::asio::awaitable<void> begin(std::shared_ptr<StepWork> self);
-  /// Drops what became too old, ends work that is not needed any more, looks
-  /// after stragglers and starts what is idle. Called at intervals and after
-  /// each change.
+  /// Drops samples and cancels attempts that are too old, cancels unneeded attempts, handles
+  /// stragglers and starts attempts for idle slots. Called periodically and after each change.
   void sweep();
-  /// Starts no attempts until resumed: what the trainer holds is not known.
+  /// Starts no attempts until resume_starts(), because it is unknown what the trainer holds.
   void pause_starts() { starts_paused_ = true; }
   void resume_starts() { starts_paused_ = false; }
-  /// Leaves the lengths of this step's samples to the event's later steps.
-  void leave_history();
-  /// Ends all attempts, on the engines as well.
+  /// Stores the statistics of this step for the event's later steps.
+  void save_history();
+  /// Cancels all attempts and their streams on the engines.
   void cancel();
-  /// Ends all attempts and leaves their streams to the step's new owner.
+  /// Ends all attempts but leaves their streams to the step's new owner.
   void detach();
 
   rollout::StepLedger& ledger() { return ledger_; }
-  /// \return the age rule in force at this moment.
+  /// \return the current age rule.
   rollout::AgeRule age_rule();
   const EventRules& rules();
   std::size_t running_attempts() const { return attempts_.size(); }
@@ -62,7 +62,7 @@
   bool is_needed(core::SlotId slot) const;
   bool group_is_open(std::uint32_t prompt) const;
 
-  /// A daemon that was just started has no routing table yet.
+  /// Waits for the first routing table, which a newly started daemon does not have yet.
   static boost::asio::awaitable<void> wait_for_engines(std::shared_ptr<StepWork> self);
   void adopt(const std::vector<FoundStream>& found);
   void end_unneeded();
@@ -71,7 +71,7 @@
   std::vector<core::SlotId> wanted_slots();
   std::vector<rollout::GroupProgress> group_progress() const;
   double usual_length();
-  /// \return whether there is time to wait for engines with the newest weights.
+  /// \return whether enough time is left to wait for engines with the newest weights.
   bool should_wait_for_fresh(const rollout::AgeRule& rule);
   bool start_attempt(core::SlotId slot, const rollout::AgeRule& rule);
   void start_run(std::shared_ptr<Attempt> attempt);
@@ -79,15 +79,15 @@
 
   static boost::asio::awaitable<void> run_attempt(std::shared_ptr<StepWork> self,
                                                   std::shared_ptr<Attempt> attempt);
-  void attempt_ended(const Attempt& attempt, AttemptEnd end);
+  void attempt_ended(const Attempt& attempt, AttemptOutcome end);
   boost::asio::awaitable<void> finish(std::shared_ptr<Attempt> attempt);
   boost::asio::awaitable<std::optional<double>> score(std::string prompt, std::string completion);
-  bool enter(const Attempt& attempt, double score);
-  void attempt_failed(const Attempt& attempt, AttemptEnd end);
+  bool record_sample(const Attempt& attempt, double score);
+  void attempt_failed(const Attempt& attempt, AttemptOutcome end);
   void note_run_length(const Attempt& attempt);
   std::optional<core::SlotId> slot_for(const Attempt& attempt) const;
 
-  void look_after_stragglers();
+  void handle_stragglers();
   rollout::StragglerInput straggler_input();
   Attempt* running_at(core::SlotId slot);
 
--- a/src/steps/step_work_scoring.cpp
+++ b/src/steps/step_work_scoring.cpp
@@ -7,9 +7,8 @@
 namespace stoneport::steps {
 namespace asio = boost::asio;
 
-/// \return the mean over the tenant's scorers, zero without any; nothing when
-/// the step stopped before all had answered. A refused or lost call is made
-/// again: scoring twice gives the same score.
+/// \return the mean score of the tenant's scorers, zero without any; nothing when the step stopped
+/// before all had answered. Failed calls are retried, since scoring is deterministic.
 asio::awaitable<std::optional<double>> StepWork::score(std::string prompt, std::string completion) {
   const std::vector<core::ServiceName> scorers = rules().parameters.scorers;
   const StepSettings& settings = context_.settings();
--- a/src/steps/step_work_stragglers.cpp
+++ b/src/steps/step_work_stragglers.cpp
@@ -1,11 +1,11 @@
 /// \file
-/// Applies the straggler decisions to the running attempts of a step.
+/// Applies straggler decisions to the running attempts of a step.
 #include "rollout/stragglers.hpp"
 #include "steps/step_work.hpp"
 
 namespace stoneport::steps {
 namespace {
-/// Estimate for the size of a prompt's cache.
+/// Used to estimate the number of tokens of a prompt.
 constexpr std::uint64_t kBytesPerToken = 4;
 }  // namespace
 
@@ -49,7 +49,7 @@
   return input;
 }
 
-void StepWork::look_after_stragglers() {
+void StepWork::handle_stragglers() {
   const rollout::StragglerInput input = straggler_input();
   if (input.running.empty()) {
     return;
--- a/src/steps/stream_search.cpp
+++ b/src/steps/stream_search.cpp
@@ -9,7 +9,7 @@
 namespace asio = boost::asio;
 namespace {
 
-/// Shared with the questions, which may outlive the search.
+/// State shared with the queries, which may outlive the search.
 struct Search {
   explicit Search(asio::any_io_executor executor) : answered(std::move(executor)) {}
   std::vector<FoundStream> found;
@@ -47,7 +47,7 @@
                    ask(search, context.engines.client(replica.address), replica,
                        rollout::stream_prefix(event, step)));
   }
-  const core::MonotonicTime limit = context.now() + context.settings().rebuild_limit;
+  const core::MonotonicTime limit = context.now() + context.settings().recovery_timeout;
   while (search->waiting > 0 && context.now() < limit) {
     co_await search->answered.wait_for(limit - context.now());
   }
--- a/src/steps/stream_search.hpp
+++ b/src/steps/stream_search.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Finds the streams that an earlier owner of a step left on the engines.
+/// Finds streams that an earlier owner of a step left on the engines.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,13 +16,13 @@
   routing::Replica engine;
   std::uint64_t token_count = 0;
   bool finished = false;
-  bool cancelled = false;  ///< ended without its text being whole
+  bool cancelled = false;  ///< ended before its text was complete
 };
 
-/// Asks all engines of \p model at once. An engine that does not answer within
-/// the rebuild limit counts as having none: its work is then made again.
-/// \return streams of the step with the same content, the longest first, without
-/// cancelled ones: these hold nothing that could be read to its end.
+/// Queries all engines of \p model in parallel. An engine that does not answer within the recovery
+/// timeout counts as having no streams, so that its samples are generated again.
+/// \return streams of the step with the same content, longest first. Cancelled ones are left out,
+/// because they cannot be read to their end.
 boost::asio::awaitable<std::vector<FoundStream>> find_streams(StepContext& context,
                                                               core::ModelName model,
                                                               core::EventName event,
--- a/src/steps/trainer_handler.cpp
+++ b/src/steps/trainer_handler.cpp
@@ -98,7 +98,7 @@
   if (!runner) {
     co_return refusal(runner.error());
   }
-  StepRunner& step = **runner;  // kept by the result
+  StepRunner& step = **runner;  // kept alive by the result
   const std::size_t slot_count = step.plan().content.shape().slot_count();
   auto held = rollout::SlotBitmap::parse(message->held, slot_count);
   if (!held) {
--- a/src/steps/trainer_handler.hpp
+++ b/src/steps/trainer_handler.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The trainer interface over HTTP: parse, call the StepService, answer. Serve it
-/// on the steps thread.
+/// HTTP handler of the trainer interface: parses requests, calls the StepService and formats the
+/// responses. Must run on the steps thread.
 #pragma once
 
 #include "http/router.hpp"
--- a/src/steps/trainer_messages.cpp
+++ b/src/steps/trainer_messages.cpp
@@ -12,24 +12,24 @@
 using nlohmann::json;
 namespace {
 
-constexpr std::uint64_t kMostPrompts = 65'536;
-constexpr std::uint64_t kMostSamplesPerPrompt = 1'024;
-constexpr std::uint64_t kMostSlots = 1 << 20;
-constexpr std::uint64_t kMostWaitMilliseconds = 600'000;
-constexpr std::uint64_t kMostSamplesPerPoll = 4'096;
+constexpr std::uint64_t kMaxPrompts = 65'536;
+constexpr std::uint64_t kMaxSamplesPerPrompt = 1'024;
+constexpr std::uint64_t kMaxSlots = 1 << 20;
+constexpr std::uint64_t kMaxWaitMilliseconds = 600'000;
+constexpr std::uint64_t kMaxSamplesPerPoll = 4'096;
 constexpr std::uint64_t kDefaultSamplesPerPoll = 64;
-constexpr std::uint64_t kMostCounter = std::numeric_limits<std::int64_t>::max();
+constexpr std::uint64_t kMaxCounter = std::numeric_limits<std::int64_t>::max();
 
 core::Error invalid(std::string message) {
   return core::make_error(core::ErrorCode::kInvalidArgument, std::move(message));
 }
 
 struct Range {
-  std::uint64_t least = 0;
-  std::uint64_t most = kMostCounter;
+  std::uint64_t min = 0;
+  std::uint64_t max = kMaxCounter;
 };
 
-/// Reads fields of one object and keeps the first error.
+/// Reads the fields of a JSON object and keeps the first error.
 class FieldReader {
  public:
   explicit FieldReader(const json& object) : object_(object) {}
@@ -42,10 +42,10 @@
     }
     const bool is_number = found != object_.end() && found->is_number_unsigned();
     const std::uint64_t value = is_number ? found->get<std::uint64_t>() : 0;
-    if (!is_number || value < range.least || value > range.most) {
-      fail(std::string(name) + " must be a whole number from " + std::to_string(range.least) +
-           " to " + std::to_string(range.most));
-      return range.least;
+    if (!is_number || value < range.min || value > range.max) {
+      fail(std::string(name) + " must be a whole number from " + std::to_string(range.min) +
+           " to " + std::to_string(range.max));
+      return range.min;
     }
     return value;
   }
@@ -97,7 +97,7 @@
   std::optional<core::Error> error_;
 };
 
-/// Parses \p body as an object and fills a message from it with \p read.
+/// Parses \p body as a JSON object and calls \p read to fill the message.
 template <class Message, class Read>
 core::Result<Message> parse_message(const std::string& body, Read read) {
   const std::optional<json> document = core::parse_json(body);
@@ -134,12 +134,12 @@
   return parse_message<OpenMessage>(body, [](FieldReader& fields, OpenMessage& message) {
     message.step = core::StepNumber(fields.number("step", {}));
     message.policy_version = core::WeightVersion(fields.number("policy_version", {}));
-    message.content.prompts = fields.texts("prompts", kMostPrompts);
+    message.content.prompts = fields.texts("prompts", kMaxPrompts);
     message.content.samples_per_prompt =
-        static_cast<std::uint32_t>(fields.number("samples_per_prompt", {1, kMostSamplesPerPrompt}));
+        static_cast<std::uint32_t>(fields.number("samples_per_prompt", {1, kMaxSamplesPerPrompt}));
     message.epoch_seen = core::Epoch(fields.number("epoch_seen", {}, 0));
-    if (message.content.shape().slot_count() > kMostSlots) {
-      fields.fail("a step has at most " + std::to_string(kMostSlots) + " samples");
+    if (message.content.shape().slot_count() > kMaxSlots) {
+      fields.fail("a step has at most " + std::to_string(kMaxSlots) + " samples");
     }
   });
 }
@@ -149,9 +149,9 @@
     message.held = fields.text("held");
     message.epoch_seen = core::Epoch(fields.number("epoch_seen", {}, 0));
     message.wait =
-        std::chrono::milliseconds(fields.number("wait_ms", {0, kMostWaitMilliseconds}, 0));
+        std::chrono::milliseconds(fields.number("wait_ms", {0, kMaxWaitMilliseconds}, 0));
     message.max_samples =
-        fields.number("max_samples", {1, kMostSamplesPerPoll}, kDefaultSamplesPerPoll);
+        fields.number("max_samples", {1, kMaxSamplesPerPoll}, kDefaultSamplesPerPoll);
     if (fields.has("policy_version")) {
       message.policy_version = core::WeightVersion(fields.number("policy_version", {}));
     }
@@ -168,7 +168,7 @@
 
 core::Result<core::StepNumber> parse_step_number(const std::string& text) {
   const auto value = core::parse_number<std::uint64_t>(text);
-  if (!value || *value > kMostCounter) {
+  if (!value || *value > kMaxCounter) {
     return invalid("the step in the path must be a whole number");
   }
   return core::StepNumber(*value);
--- a/src/steps/trainer_messages.hpp
+++ b/src/steps/trainer_messages.hpp
@@ -17,16 +17,16 @@
 };
 struct OpenMessage {
   core::StepNumber step;
-  core::WeightVersion policy_version;  ///< the trainer's current one
+  core::WeightVersion policy_version;  ///< the trainer's current version
   StepContent content;
   core::Epoch epoch_seen;
 };
 struct PollMessage {
-  std::string held;  ///< bitmap, checked against the step's shape later
+  std::string held;  ///< bitmap, validated later against the step's shape
   core::Epoch epoch_seen;
   core::Duration wait{};
   std::size_t max_samples = 0;
-  /// The trainer's current version, where it says so.
+  /// The trainer's current version, if given.
   std::optional<core::WeightVersion> policy_version;
 };
 struct AcknowledgeMessage {
@@ -34,7 +34,8 @@
   core::Epoch epoch_seen;
 };
 
-/// Each returns kInvalidArgument that names the field and what is allowed.
+/// The parse functions return kInvalidArgument, naming the field and the allowed values, for an
+/// invalid message.
 core::Result<PublishMessage> parse_publish(const std::string& body);
 core::Result<OpenMessage> parse_open(const std::string& body);
 core::Result<PollMessage> parse_poll(const std::string& body);
--- a/src/tenants/access.cpp
+++ b/src/tenants/access.cpp
@@ -32,7 +32,7 @@
   return text;
 }
 
-Access refusal(AccessEnd end) {
+Access refusal(AccessOutcome end) {
   Access access;
   access.end = end;
   return access;
@@ -40,18 +40,18 @@
 
 Access check_key(const TenantTable& tenants, const std::vector<std::string_view>& authorization) {
   if (authorization.empty()) {
-    return refusal(AccessEnd::kNoKey);
+    return refusal(AccessOutcome::kNoKey);
   }
   if (authorization.size() > 1) {
-    return refusal(AccessEnd::kManyKeys);
+    return refusal(AccessOutcome::kManyKeys);
   }
   const std::optional<std::string_view> key = bearer_key(authorization.front());
   if (!key) {
-    return refusal(AccessEnd::kNoKey);
+    return refusal(AccessOutcome::kNoKey);
   }
-  const Tenant* holder = tenants.holder_of(*key);
+  const Tenant* holder = tenants.find_by_key(*key);
   if (holder == nullptr) {
-    return refusal(AccessEnd::kUnknownKey);
+    return refusal(AccessOutcome::kUnknownKey);
   }
   Access access;
   access.tenant = holder->name;
@@ -60,15 +60,15 @@
 
 }  // namespace
 
-std::string_view to_string(AccessEnd end) {
+std::string_view to_string(AccessOutcome end) {
   switch (end) {
-    case AccessEnd::kGranted:
+    case AccessOutcome::kGranted:
       return "granted";
-    case AccessEnd::kNoKey:
+    case AccessOutcome::kNoKey:
       return "no_key";
-    case AccessEnd::kManyKeys:
+    case AccessOutcome::kManyKeys:
       return "many_keys";
-    case AccessEnd::kUnknownKey:
+    case AccessOutcome::kUnknownKey:
       return "unknown_key";
   }
   return "unknown";
@@ -90,8 +90,8 @@
     return {};
   }
   Access access = check_key(tenants, authorization);
-  // A public route serves everybody; a good key still tells whose request it is.
-  if (access.end != AccessEnd::kGranted && is_public) {
+  // A public route serves any request; a valid key still identifies the tenant.
+  if (access.end != AccessOutcome::kGranted && is_public) {
     return {};
   }
   return access;
--- a/src/tenants/access.hpp
+++ b/src/tenants/access.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a request may come in, and whose it is. Plain code.
+/// Authenticates requests by API key. Does no I/O.
 #pragma once
 
 #include <string_view>
@@ -9,26 +9,29 @@
 
 namespace stoneport::tenants {
 
-enum class AccessEnd {
+/// Result of the authentication of a request.
+enum class AccessOutcome {
   kGranted,
-  kNoKey,      ///< none, or not as "Bearer KEY"
-  kManyKeys,   ///< more than one: which counts is not certain
-  kUnknownKey  ///< nobody holds it
+  kNoKey,      ///< no credentials, or not of the form "Bearer KEY"
+  kManyKeys,   ///< more than one credentials field, which is ambiguous
+  kUnknownKey  ///< no tenant has the key
 };
-/// \return the name that stands in log lines, such as "unknown_key".
-std::string_view to_string(AccessEnd end);
+/// \return the name used in log lines, such as "unknown_key".
+std::string_view to_string(AccessOutcome end);
 
+/// Outcome of the authentication and the authenticated tenant.
 struct Access {
-  AccessEnd end = AccessEnd::kGranted;
-  core::TenantName tenant;  ///< empty where nobody's key came with the request
+  AccessOutcome end = AccessOutcome::kGranted;
+  core::TenantName tenant;  ///< empty if the request had no valid key
 };
 
-/// \param authorization every value of the request's credentials field
+/// Checks the credentials of a request.
+/// \param authorization all values of the request's Authorization field
 /// \param is_public whether the route serves requests without a key
 Access check_access(const TenantTable& tenants, const std::vector<std::string_view>& authorization,
                     bool is_public);
 
-/// \return the key in "Bearer KEY", the scheme in any case; nothing for other text.
+/// \return the key in "Bearer KEY", with a case-insensitive scheme; nothing for any other text.
 std::optional<std::string_view> bearer_key(std::string_view authorization);
 
 }  // namespace stoneport::tenants
--- a/src/tenants/tenant_table.cpp
+++ b/src/tenants/tenant_table.cpp
@@ -7,7 +7,7 @@
 namespace stoneport::tenants {
 namespace {
 
-/// Drawn once a process, so that nobody outside can choose keys that share a digest.
+/// Hashes with a seed drawn once per process, so that nobody can choose keys that collide.
 std::uint64_t digest_of(std::string_view key) {
   static const std::uint64_t seed = [] {
     std::random_device device;
@@ -16,7 +16,7 @@
   return core::hash64(key, seed);
 }
 
-/// \return whether both are the same, in a time that does not tell where they differ.
+/// \return whether both are equal, in a time that does not depend on where they differ.
 bool same_secret(std::string_view left, std::string_view right) {
   if (left.size() != right.size()) {
     return false;
@@ -42,7 +42,7 @@
       tenants_.push_back(definition.tenant);
     } else {
       faults_.push_back("tenant " + definition.tenant.name.value() +
-                        " stands twice: its keys count together");
+                        " is defined twice: its keys are combined");
     }
     for (const std::string& key : definition.keys) {
       add_key(key, known->second);
@@ -65,14 +65,14 @@
     if (credential.tenant != tenant) {
       credential.is_shared = true;
       faults_.push_back("tenants " + tenants_[credential.tenant].name.value() + " and " + name +
-                        " hold one key: it is not accepted");
+                        " have the same key: it is not accepted");
     }
     return;
   }
   credentials.push_back({key, tenant});
 }
 
-const Tenant* TenantTable::holder_of(std::string_view key) const {
+const Tenant* TenantTable::find_by_key(std::string_view key) const {
   if (key.empty() || key.size() > kLongestKeyBytes) {
     return nullptr;
   }
--- a/src/tenants/tenant_table.hpp
+++ b/src/tenants/tenant_table.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The tenants of a configuration and their API keys. An immutable part of the routing
-/// snapshot. Keys are secrets: nothing here hands one out, and no fault names one.
+/// Tenants of a configuration and their API keys. Immutable part of the routing snapshot. Keys are
+/// secrets: no function returns one, and faults do not contain them.
 #pragma once
 
 #include <cstdint>
@@ -16,46 +16,47 @@
 
 namespace stoneport::tenants {
 
-/// Longer keys are refused and never compared.
+/// Maximum length of a key; longer ones are refused without comparison.
 inline constexpr std::size_t kLongestKeyBytes = 512;
 
 struct Tenant {
   core::TenantName name;
-  std::optional<std::uint32_t> priority;  ///< goes before the route's; 0 is served first
-  eligibility::Regions regions = {};      ///< where its requests may be served; empty: anywhere
+  std::optional<std::uint32_t> priority;  ///< overrides the route's; 0 is the highest priority
+  eligibility::Regions regions = {};  ///< where its requests may be served; empty means anywhere
 };
 
-/// A tenant as a configuration describes it.
+/// Definition of a tenant in a configuration.
 struct TenantDefinition {
   Tenant tenant;
   std::vector<std::string> keys;
 };
 
+/// Looks up tenants by name and by API key.
 class TenantTable {
  public:
-  /// Without tenants: no request needs a key.
+  /// Creates a table without tenants, which requires no keys.
   TenantTable() = default;
-  /// Keys that are empty, too long or held by two tenants are nobody's; so is a tenant without
-  /// a name. faults() tells of each, and the rest is in force.
+  /// Ignores tenants without a name, and keys that are empty, too long or held by two tenants.
+  /// faults() lists each of them; all other definitions are used.
   explicit TenantTable(const std::vector<TenantDefinition>& definitions);
 
-  /// \return whether a request needs a key, unless its route is public.
+  /// \return whether requests to routes that are not public need a key.
   bool requires_keys() const { return requires_keys_; }
-  /// Takes the same time for every wrong key of one length.
-  /// \return the holder of \p key, or null.
-  const Tenant* holder_of(std::string_view key) const;
+  /// Takes the same time for all wrong keys of the same length.
+  /// \return the tenant with \p key, or null.
+  const Tenant* find_by_key(std::string_view key) const;
   /// \return the tenant named \p name, or null.
   const Tenant* find(const core::TenantName& name) const;
   std::size_t size() const { return tenants_.size(); }
   const std::vector<Tenant>& tenants() const { return tenants_; }
-  /// \return what is wrong with the configuration's tenants; no text holds a key.
+  /// \return descriptions of the errors in the tenant definitions, without any keys.
   const std::vector<std::string>& faults() const { return faults_; }
 
  private:
   struct Credential {
     std::string key;
     std::size_t tenant = 0;  ///< index into tenants_
-    bool is_shared = false;  ///< two tenants hold it: it is nobody's
+    bool is_shared = false;  ///< held by two tenants, so not accepted
   };
   void add_key(const std::string& key, std::size_t tenant);
 
--- a/src/usage/freeze_decision.hpp
+++ b/src/usage/freeze_decision.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// When a window's counts are taken as they are. Plain code.
+/// Decides when a window's counts are frozen, that is final for its report. Does no I/O.
 #pragma once
 
 #include <map>
@@ -10,30 +10,32 @@
 
 namespace stoneport::usage {
 
-/// What every process has written, by the name of its life.
+/// Counts written by each process, by the name of its incarnation.
 using CountsByProcess = std::map<std::string, ProcessCounts>;
 
 struct FreezeSettings {
-  /// Nothing is frozen earlier after a window's end: the last requests of it are still open.
+  /// Minimum time after a window's end before it is frozen, because its last requests are still
+  /// open.
   core::Duration earliest = std::chrono::milliseconds(600);
-  /// Processes that have not written are not waited for any longer after a window's end. The
-  /// settings that the platform writes replace it by what its due time leaves.
+  /// Time after a window's end at which it is frozen even if some processes have not written their
+  /// counts. Settings written by the platform replace it by the time left until the report is due.
   core::Duration latest = std::chrono::milliseconds(6500);
 };
 
+/// Whether to freeze a window, and which processes are missing.
 struct FreezeDecision {
   bool is_due = false;
-  std::vector<std::string> incomplete;  ///< processes that run and may have more to tell
+  std::vector<std::string> incomplete;  ///< running processes that may write more counts
 };
 
 /// \param age time since the window's end
-/// \param running names of the processes that run
+/// \param running names of the running processes
 FreezeDecision decide_freeze(WindowIndex window, core::Duration age,
                              const CountsByProcess& processes,
                              const std::vector<std::string>& running,
                              const FreezeSettings& settings);
 
-/// \return the sum of what all processes have counted in \p window.
+/// \return the sum of all processes' counts in \p window.
 ports::TenantCounts sum_of(WindowIndex window, const CountsByProcess& processes);
 
 }  // namespace stoneport::usage
--- a/src/usage/usage_counter.hpp
+++ b/src/usage/usage_counter.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What this process has counted: the requests of each tenant that began to run, by window.
-/// Belongs to the thread of the forwarder.
+/// Counts the requests of each tenant that started running in this process, by window. Used on
+/// the forwarder's thread.
 #pragma once
 
 #include <map>
@@ -11,31 +11,32 @@
 
 namespace stoneport::usage {
 
-/// Counts by window. No entry means that nothing began to run.
+/// Counts by window. A window without an entry has no requests.
 using WindowCounts = std::map<WindowIndex, ports::TenantCounts>;
 
+/// Counts each request in the window in which it was first sent.
 class UsageCounter : public ingress::RunObserver {
  public:
-  /// \param clock outlives this
+  /// \param clock must outlive the counter
   explicit UsageCounter(WindowClock& clock) : clock_(clock) {}
 
-  /// \return the window: told once, as the clock's corrections may move a time near its edge.
+  /// \return the window, which the caller passes to on_settled(). Computing it again could give
+  /// another one, because clock corrections may move a time across a window's edge.
   Span on_sent(core::MonotonicTime sent_at) override;
   void on_settled(const core::TenantName& tenant, Span window, bool has_run) override;
 
   const WindowCounts& counts() const { return counts_; }
-  /// Grows with each request counted.
+  /// Returns a number that increases with each counted request.
   std::uint64_t version() const { return version_; }
-  /// \return the newest window of which nothing is open any more: it has ended, and so has each
-  /// request that was sent in it.
+  /// \return the newest window that has ended and up to which no sent request is unsettled.
   WindowIndex complete_through();
-  /// Forgets the windows before \p first.
+  /// Deletes the windows before \p first.
   void forget_before(WindowIndex first);
 
  private:
   WindowClock& clock_;
   WindowCounts counts_;
-  std::map<WindowIndex, std::uint64_t> open_;  ///< requests sent and not settled
+  std::map<WindowIndex, std::uint64_t> open_;  ///< number of requests sent but not settled
   std::uint64_t version_ = 0;
 };
 
--- a/src/usage/usage_publisher.cpp
+++ b/src/usage/usage_publisher.cpp
@@ -11,15 +11,16 @@
     : inputs_(std::move(inputs)),
       settings_(std::move(settings)),
       writes_(inputs_.metrics.counter("stoneport_usage_writes_total",
-                                      "Writes of this process's counts of usage")),
-      failed_writes_(inputs_.metrics.counter("stoneport_usage_write_failures_total",
-                                             "Those that the store did not confirm")) {}
+                                      "Writes of this process's usage counts")),
+      failed_writes_(
+          inputs_.metrics.counter("stoneport_usage_write_failures_total",
+                                  "Writes of usage counts that the store did not confirm")) {}
 
 void UsagePublisher::start() {
   runtime::start(inputs_.executor, "usage counts", run());
 }
 
-bool UsagePublisher::has_news() {
+bool UsagePublisher::has_unwritten_counts() {
   return inputs_.counter.version() != written_version_ ||
          inputs_.counter.complete_through() != written_through_;
 }
@@ -29,7 +30,7 @@
   return std::max(settings_.shortest_interval, core::from_seconds(share));
 }
 
-asio::awaitable<void> UsagePublisher::learn_revision() {
+asio::awaitable<void> UsagePublisher::reload_revision() {
   ports::RecordRange own{std::string(kCountTable), std::string(kCountPartition), settings_.process,
                          ports::key_after(settings_.process)};
   const core::Result<ports::RecordPage> page =
@@ -44,7 +45,7 @@
   const WindowIndex through = inputs_.counter.complete_through();
   ports::RecordTransaction transaction;
   transaction.partition = std::string(kCountPartition);
-  // An earlier write that is carried out late must not replace this one.
+  // An earlier write that is applied late must not overwrite this one.
   transaction.conditions.push_back({std::string(kCountTable), settings_.process, revision_});
   transaction.writes.push_back({std::string(kCountTable), settings_.process,
                                 encode_process_counts({through, inputs_.counter.counts()})});
@@ -53,7 +54,7 @@
   if (!committed) {
     failed_writes_.Increment();
     if (committed.error().code == core::ErrorCode::kConflict) {
-      co_await learn_revision();
+      co_await reload_revision();
     }
     co_return false;
   }
@@ -67,7 +68,7 @@
 asio::awaitable<void> UsagePublisher::run() {
   while (true) {
     co_await runtime::sleep_for(settings_.tick);
-    if (!inputs_.is_wanted() || is_writing_ || !has_news()) {
+    if (!inputs_.is_wanted() || is_writing_ || !has_unwritten_counts()) {
       continue;
     }
     const auto kept = static_cast<WindowIndex>(settings_.retention / inputs_.clock.window_length());
@@ -81,7 +82,7 @@
 
 asio::awaitable<void> UsagePublisher::flush(core::Duration limit) {
   const core::MonotonicTime give_up_at = inputs_.time.now() + limit;
-  while (inputs_.is_wanted() && has_news() && inputs_.time.now() < give_up_at) {
+  while (inputs_.is_wanted() && has_unwritten_counts() && inputs_.time.now() < give_up_at) {
     if (is_writing_) {
       co_await runtime::sleep_for(settings_.tick);
       continue;
--- a/src/usage/usage_publisher.hpp
+++ b/src/usage/usage_publisher.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// Writes what this process has counted into the store, so that a report lacks no more of a
-/// killed process than what it counted since its last write. Belongs to the thread of its
-/// executor.
+/// Writes this process's counts to the store periodically, so that a killed process loses only
+/// what it counted since its last write. Used on its executor's thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -16,18 +15,19 @@
 namespace stoneport::usage {
 
 struct UsagePublisherSettings {
-  std::string process;  ///< unique to this life of this process
-  /// Between two writes; a killed process loses what it counted within this time.
+  std::string process;  ///< name of this process's incarnation; unique
+  /// Minimum time between two writes; a killed process loses what it counted within this time.
   core::Duration shortest_interval = std::chrono::milliseconds(200);
-  /// All processes together write at most so often a second: a third of what the store takes
-  /// for one partition on the users' deployments (300).
+  /// Maximum number of writes per second of all processes together: a third of what the store
+  /// accepts for one partition in the target deployments (300).
   double writes_per_second = 100;
   core::Duration write_timeout = std::chrono::milliseconds(900);
   core::Duration tick = std::chrono::milliseconds(50);
-  /// Windows are kept for this long after their end.
+  /// Time for which windows are kept after their end.
   core::Duration retention = std::chrono::seconds(25);
 };
 
+/// Writes the counts of a UsageCounter to the store.
 class UsagePublisher {
  public:
   struct Inputs {
@@ -36,28 +36,28 @@
     UsageCounter& counter;
     WindowClock& clock;
     std::function<bool()> is_wanted;             ///< whether the configuration has tenants
-    std::function<std::size_t()> process_count;  ///< that are known to run
+    std::function<std::size_t()> process_count;  ///< number of processes known to be running
     const core::TimeSource& time;
     core::Metrics& metrics;
   };
-  /// All inputs outlive the publisher, which lives as long as the executor runs.
+  /// The inputs must outlive the publisher, which must live as long as the executor runs.
   UsagePublisher(Inputs inputs, UsagePublisherSettings settings);
   void start();
-  /// Writes what is not written yet, within \p limit.
+  /// Writes all counts that are not written yet, for at most \p limit.
   boost::asio::awaitable<void> flush(core::Duration limit);
 
  private:
   boost::asio::awaitable<void> run();
-  bool has_news();
+  bool has_unwritten_counts();
   core::Duration interval() const;
-  /// \return whether the store has what was counted when this was called.
+  /// \return whether the store has confirmed the counts as of the call.
   boost::asio::awaitable<bool> write();
-  /// Learns the revision of the own record, which a write without an answer may have changed.
-  boost::asio::awaitable<void> learn_revision();
+  /// Reads the revision of this process's record, which an unconfirmed write may have changed.
+  boost::asio::awaitable<void> reload_revision();
 
   Inputs inputs_;
   UsagePublisherSettings settings_;
-  core::Revision revision_;  ///< of the own record; a condition of each write
+  core::Revision revision_;  ///< of this process's record; a condition of each write
   std::uint64_t written_version_ = 0;
   WindowIndex written_through_ = 0;
   bool is_writing_ = false;
--- a/src/usage/usage_records.hpp
+++ b/src/usage/usage_records.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How usage lies in the store: what each process has counted, and each window's counts as
-/// they are reported. Plain code.
+/// Store records of usage: the counts of each process, and the reported counts of each window.
+/// Does no I/O.
 #pragma once
 
 #include <optional>
@@ -11,24 +11,27 @@
 
 namespace stoneport::usage {
 
-/// What each process writes for itself; apart from all other writes.
+/// Partition and table of the counts, one record per process. The partition is separate from all
+/// other writes.
 inline constexpr std::string_view kCountPartition = "usage";
 inline constexpr std::string_view kCountTable = "stoneport-usage-counts";
-/// One record a window, in the partition of the term; once there, its counts never change.
+/// Table of frozen windows, one record per window, in the term's partition. The counts of a record
+/// never change.
 inline constexpr std::string_view kWindowTable = "stoneport-usage-window";
 
-/// What one life of one process has counted; its key is that life's name.
+/// Counts of one incarnation of a process; the key is the incarnation's name.
 struct ProcessCounts {
-  WindowIndex complete_through = 0;  ///< nothing of this window and those before is open
+  WindowIndex complete_through = 0;  ///< newest window up to which no request is unsettled
   WindowCounts windows;
 };
 
 enum class ReportState {
-  kFrozen,   ///< to be sent, possibly sent already
-  kTaken,    ///< the platform has it
-  kGivenUp,  ///< too late to be of use
+  kFrozen,   ///< not confirmed by the platform, possibly sent already
+  kTaken,    ///< accepted by the platform
+  kGivenUp,  ///< too late to be sent
 };
 
+/// Final counts of one window and the state of their report.
 struct FrozenWindow {
   ports::TenantCounts counts;
   ReportState state = ReportState::kFrozen;
--- a/src/usage/usage_reporter.cpp
+++ b/src/usage/usage_reporter.cpp
@@ -9,14 +9,14 @@
 namespace asio = boost::asio;
 namespace {
 
-/// All windows together are one subject: their calls need one order of holders.
+/// All windows share one fence subject, because the platform must see a single order of holders.
 const std::string kSubject = "usage";
-/// Windows that ended longer ago are not caught up with: nobody kept their counts.
-constexpr WindowIndex kMostMissedWindows = 4;
-/// Between two looks for records that are older than the retention.
+/// Maximum number of missed windows to report; the counts of earlier ones are no longer kept.
+constexpr WindowIndex kMaxMissedWindows = 4;
+/// Interval between removals of records older than the retention.
 constexpr core::Duration kRemovalInterval = std::chrono::seconds(20);
-/// Records of one table that one transaction removes.
-constexpr std::size_t kMostRemovals = 50;
+/// Maximum number of records that one transaction removes.
+constexpr std::size_t kMaxRemovals = 50;
 
 double milliseconds_of(core::Duration length) {
   constexpr double kMillisecondsPerSecond = 1000;
@@ -35,18 +35,21 @@
 
 struct UsageReporter::Meters {
   explicit Meters(core::Metrics& metrics)
-      : taken(metrics.counter("stoneport_usage_windows_reported_total",
-                              "Windows whose usage the platform has taken from this process")),
-        late(metrics.counter("stoneport_usage_windows_late_total",
-                             "Those that it took later than they were due")),
+      : taken(
+            metrics.counter("stoneport_usage_windows_reported_total",
+                            "Windows whose usage report from this process the platform accepted")),
+        late(
+            metrics.counter("stoneport_usage_windows_late_total",
+                            "Windows whose usage report the platform accepted after its due time")),
         given_up(metrics.counter("stoneport_usage_windows_given_up_total",
-                                 "Windows whose usage was too late to be sent")),
-        incomplete(metrics.counter("stoneport_usage_windows_incomplete_total",
-                                   "Windows frozen without the last word of every process")),
+                                 "Windows whose usage was not reported because it was too late")),
+        incomplete(
+            metrics.counter("stoneport_usage_windows_incomplete_total",
+                            "Windows frozen before all processes had written their final counts")),
         refused(metrics.counter("stoneport_usage_calls_failed_total",
-                                "Calls with usage that the platform did not take")),
+                                "Usage report calls that failed or were refused")),
         lag_seconds(metrics.gauge("stoneport_usage_lag_seconds",
-                                  "From the end of the window reported last to its report")) {}
+                                  "Time from the end of the last reported window to its report")) {}
   prometheus::Counter& taken;
   prometheus::Counter& late;
   prometheus::Counter& given_up;
@@ -69,15 +72,15 @@
 }
 
 asio::awaitable<void> UsageReporter::run(std::shared_ptr<UsageReporter> self) {
-  bool has_learned = false;
+  bool is_loaded = false;
   while (!self->stopped_) {
     if (self->inputs_.is_wanted()) {
-      if (!has_learned) {
-        has_learned = co_await self->learn();
+      if (!is_loaded) {
+        is_loaded = co_await self->load_state();
       }
-      bool goes_on = has_learned && !self->stopped_;
-      while (goes_on) {
-        goes_on = co_await self->freeze_next();
+      bool may_freeze_more = is_loaded && !self->stopped_;
+      while (may_freeze_more) {
+        may_freeze_more = co_await self->freeze_next();
       }
       co_await self->send_frozen();
       co_await self->remove_old();
@@ -86,12 +89,12 @@
   }
 }
 
-asio::awaitable<bool> UsageReporter::learn() {
-  const bool knows_calls = co_await fence_.learn();
+asio::awaitable<bool> UsageReporter::load_state() {
+  const bool is_fence_loaded = co_await fence_.learn();
   ports::RecordRange range{std::string(kWindowTable), std::string(jobs::kTermPartition)};
   const core::Result<std::vector<ports::Record>> windows =
       co_await inputs_.reader.read_range(std::move(range), false);
-  if (!knows_calls || !windows) {
+  if (!is_fence_loaded || !windows) {
     co_return false;
   }
   for (const ports::Record& record : *windows) {
@@ -124,7 +127,7 @@
 
 WindowIndex UsageReporter::first_window() {
   const WindowIndex current = inputs_.clock.current();
-  const WindowIndex oldest = current - kMostMissedWindows;
+  const WindowIndex oldest = current - kMaxMissedWindows;
   if (!frozen_.empty()) {
     return std::max(oldest, frozen_.rbegin()->first + 1);
   }
@@ -170,10 +173,10 @@
   const core::Result<core::Revision> committed =
       co_await inputs_.store.commit(std::move(transaction), settings_.write_timeout);
   if (!committed) {
-    // It may be there by a write without an answer: then its counts stand.
+    // An unconfirmed write may have frozen the window already; then those counts are final.
     frozen_.clear();
     next_.reset();
-    co_await learn();
+    co_await load_state();
     co_return false;
   }
   fence_.on_announced(kSubject, sent_at);
@@ -218,7 +221,7 @@
     if (inputs_.clock.since_end_of(window) > settings_.give_up_after) {
       meters_->given_up.Increment();
       core::log_decision(core::DecisionEvent::kUsageGivenUp, {{"window", window}});
-      co_await note_end(window, ReportState::kGivenUp);
+      co_await record_end_state(window, ReportState::kGivenUp);
       continue;
     }
     if (!fence_.may_call(kSubject)) {
@@ -254,16 +257,16 @@
   if (age > settings_.due_after) {
     meters_->late.Increment();
   }
-  co_await note_end(window, ReportState::kTaken);
+  co_await record_end_state(window, ReportState::kTaken);
 }
 
-asio::awaitable<void> UsageReporter::note_end(WindowIndex window, ReportState state) {
+asio::awaitable<void> UsageReporter::record_end_state(WindowIndex window, ReportState state) {
   FrozenWindow& frozen = frozen_.at(window);
   frozen.state = state;
   ports::RecordTransaction transaction = fence_.transaction();
   transaction.writes.push_back(
       {std::string(kWindowTable), window_key(window), encode_frozen_window(frozen)});
-  // Not confirmed, a later holder sends the same counts once more, which changes nothing.
+  // If this write is lost, a later holder sends the same counts again, which has no effect.
   co_await inputs_.store.commit(std::move(transaction), settings_.write_timeout);
 }
 
@@ -277,7 +280,7 @@
   const WindowIndex oldest = inputs_.clock.current() - kept;
   ports::RecordTransaction windows = fence_.transaction();
   while (!frozen_.empty() && frozen_.begin()->first < oldest &&
-         windows.writes.size() < kMostRemovals) {
+         windows.writes.size() < kMaxRemovals) {
     windows.writes.push_back(
         {std::string(kWindowTable), window_key(frozen_.begin()->first), std::nullopt});
     frozen_.erase(frozen_.begin());
@@ -290,7 +293,7 @@
   for (const ports::Record& record : process_records_) {
     const auto known = processes_.find(record.key);
     const bool is_old = known == processes_.end() || known->second.complete_through < oldest;
-    if (is_old && counts.writes.size() < kMostRemovals) {
+    if (is_old && counts.writes.size() < kMaxRemovals) {
       counts.conditions.push_back({std::string(kCountTable), record.key, record.revision});
       counts.writes.push_back({std::string(kCountTable), record.key, std::nullopt});
     }
--- a/src/usage/usage_reporter.hpp
+++ b/src/usage/usage_reporter.hpp
@@ -1,7 +1,8 @@
 /// \file
 /// Reports each window's usage to the platform while this process holds the term. A window's
-/// counts are frozen in the store under the term before they are first sent, so that whoever
-/// sends them again sends the very same. Belongs to the coordinator's thread, for one term.
+/// counts are frozen in the store under the term before they are first sent, so that any later
+/// holder that sends them again sends identical counts. Runs on the coordinator's thread for one
+/// term.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -16,20 +17,21 @@
 namespace stoneport::usage {
 
 struct UsageReporterSettings {
-  std::string holder;  ///< as the platform knows this machine
+  std::string holder;  ///< name of this machine on the platform
   FreezeSettings freeze;
   jobs::DutyFenceSettings fence;
-  /// A report counts as late when it is taken later than this after its window's end.
+  /// A report accepted later than this after its window's end counts as late.
   core::Duration due_after = std::chrono::seconds(10);
-  /// And is not sent any more after this.
+  /// Time after a window's end at which its report is no longer sent.
   core::Duration give_up_after = std::chrono::seconds(40);
   core::Duration call_timeout = std::chrono::milliseconds(700);
   core::Duration write_timeout = std::chrono::milliseconds(900);
   core::Duration tick = std::chrono::milliseconds(200);
-  /// Frozen windows and counts of processes that run no more are kept for this long.
+  /// Time for which frozen windows and the counts of ended processes are kept.
   core::Duration retention = std::chrono::seconds(300);
 };
 
+/// Freezes windows and sends their reports.
 class UsageReporter : public jobs::TermDuty, public std::enable_shared_from_this<UsageReporter> {
  public:
   struct Inputs {
@@ -38,12 +40,12 @@
     jobs::JobStore& reader;
     ports::DutyClient& platform;
     WindowClock& clock;
-    std::function<bool()> is_wanted;                      ///< whether there are tenants
-    std::function<std::vector<std::string>()> processes;  ///< lives that run now
+    std::function<bool()> is_wanted;                      ///< whether the configuration has tenants
+    std::function<std::vector<std::string>()> processes;  ///< names of running incarnations
     const core::TimeSource& time;
     core::Metrics& metrics;
   };
-  /// All inputs outlive the reporter.
+  /// The inputs must outlive the reporter.
   UsageReporter(Inputs inputs, jobs::TermContext context, UsageReporterSettings settings);
   void start() override;
   void stop() override { stopped_ = true; }
@@ -51,16 +53,16 @@
  private:
   struct Meters;
   static boost::asio::awaitable<void> run(std::shared_ptr<UsageReporter> self);
-  /// Reads what former holders announced and froze.
-  boost::asio::awaitable<bool> learn();
+  /// Reads the announcements and frozen windows of former holders.
+  boost::asio::awaitable<bool> load_state();
   boost::asio::awaitable<bool> read_counts();
-  /// Freezes the next window once it is due. \return whether it did.
+  /// Freezes the next window if it is due. \return whether it was frozen.
   boost::asio::awaitable<bool> freeze_next();
   boost::asio::awaitable<bool> freeze(WindowIndex window, const FreezeDecision& decision);
   boost::asio::awaitable<void> send_frozen();
   boost::asio::awaitable<bool> announce();
   boost::asio::awaitable<void> send(WindowIndex window);
-  boost::asio::awaitable<void> note_end(WindowIndex window, ReportState state);
+  boost::asio::awaitable<void> record_end_state(WindowIndex window, ReportState state);
   boost::asio::awaitable<void> remove_old();
   WindowIndex first_window();
 
@@ -71,7 +73,7 @@
   std::map<WindowIndex, FrozenWindow> frozen_;
   CountsByProcess processes_;
   std::vector<ports::Record> process_records_;
-  std::optional<WindowIndex> next_;  ///< to be frozen
+  std::optional<WindowIndex> next_;  ///< next window to freeze
   core::MonotonicTime next_removal_{};
   bool stopped_ = false;
 
--- a/src/usage/window_clock.cpp
+++ b/src/usage/window_clock.cpp
@@ -5,10 +5,10 @@
 namespace stoneport::usage {
 namespace {
 
-/// Below this a difference is the clock's ordinary correction, and adopted at once.
-constexpr core::Duration kOrdinaryCorrection = std::chrono::milliseconds(20);
-/// A step of the time of day counts once it has lasted this long: steps that are undone, by an
-/// operator or a time server, are undone within seconds.
+/// Differences up to this are ordinary clock corrections and adopted immediately.
+constexpr core::Duration kMaxOrdinaryCorrection = std::chrono::milliseconds(20);
+/// A jump of the wall clock is adopted after it has lasted this long. Mistaken jumps are corrected
+/// by an operator or a time server within seconds.
 constexpr core::Duration kAdoptAfter = std::chrono::seconds(60);
 
 }  // namespace
@@ -23,7 +23,7 @@
 void WindowClock::follow(core::MonotonicTime now) {
   const core::Duration offset = wall_offset();
   const core::Duration difference = std::chrono::abs(offset - offset_);
-  if (difference <= kOrdinaryCorrection) {
+  if (difference <= kMaxOrdinaryCorrection) {
     offset_ = offset;
     differs_since_.reset();
     return;
--- a/src/weights/load_plan.cpp
+++ b/src/weights/load_plan.cpp
@@ -12,7 +12,7 @@
   return replica.loading || replica.version >= need.wanted;
 }
 
-/// The loads of one model that may come next, in order.
+/// Candidate loads of one model in order of priority.
 class ModelQueue {
  public:
   ModelQueue(const ModelNeed& need, const LoadPlanSettings& settings) : need_(need) {
@@ -26,7 +26,7 @@
         waiting_.push_back(&replica);
       }
     }
-    // The oldest version first, then the least work.
+    // Oldest version first, then fewest running generations.
     std::stable_sort(waiting_.begin(), waiting_.end(),
                      [](const ReplicaVersion* left, const ReplicaVersion* right) {
                        return std::tie(left->version, left->running) <
@@ -35,27 +35,27 @@
   }
 
   const ModelNeed& need() const { return need_; }
-  /// How well the model is served, now and once the next version is named: replicas whose
-  /// version the jobs to come allow, and those that have the newest one or load it.
+  /// Measures how well the model is served now and after the next version is announced: the
+  /// replicas whose version later jobs allow, plus those that have or load the newest one.
   std::uint32_t served() const { return valid_ + newest_; }
 
-  /// \return the replica to load next that is not in \p taken; null when none has to.
+  /// \return the next replica to load that is not in \p taken, or null when no load is needed.
   const ReplicaVersion* next(const std::unordered_set<core::ReplicaId>& taken) {
-    while (place_ < waiting_.size() && taken.contains(waiting_[place_]->id)) {
-      ++place_;
+    while (next_ < waiting_.size() && taken.contains(waiting_[next_]->id)) {
+      ++next_;
     }
-    if (place_ == waiting_.size()) {
+    if (next_ == waiting_.size()) {
       return nullptr;
     }
-    const ReplicaVersion* replica = waiting_[place_];
+    const ReplicaVersion* replica = waiting_[next_];
     const bool is_due = is_too_old(*replica) || newest_ < newest_wanted_;
     return is_due ? replica : nullptr;
   }
-  /// The replica that next() returned will load.
+  /// Records that the replica returned by next() will load.
   void take_next() {
-    valid_ += is_too_old(*waiting_[place_]) ? 1 : 0;
+    valid_ += is_too_old(*waiting_[next_]) ? 1 : 0;
     ++newest_;
-    ++place_;
+    ++next_;
   }
 
  private:
@@ -65,13 +65,13 @@
 
   const ModelNeed& need_;
   std::vector<const ReplicaVersion*> waiting_;
-  std::size_t place_ = 0;  ///< into waiting_
+  std::size_t next_ = 0;  ///< index into waiting_
   std::uint32_t newest_wanted_ = 0;
   std::uint32_t newest_ = 0;
   std::uint32_t valid_ = 0;
 };
 
-/// \return the queue whose model is served worst and has a load to do, or null.
+/// \return the queue of the worst-served model that has a load to do, or null.
 ModelQueue* next_queue(std::vector<ModelQueue>& queues,
                        const std::unordered_set<core::ReplicaId>& taken) {
   ModelQueue* next = nullptr;
@@ -86,8 +86,8 @@
 
 }  // namespace
 
-std::uint32_t most_loads_at_once(std::size_t replicas, const LoadPlanSettings& settings) {
-  const double share = std::round(settings.share_at_once * static_cast<double>(replicas));
+std::uint32_t max_concurrent_loads(std::size_t replicas, const LoadPlanSettings& settings) {
+  const double share = std::round(settings.max_loading_share * static_cast<double>(replicas));
   return std::max(static_cast<std::uint32_t>(share), std::uint32_t{1});
 }
 
--- a/src/weights/replica_assignment.cpp
+++ b/src/weights/replica_assignment.cpp
@@ -10,10 +10,10 @@
 namespace stoneport::weights {
 namespace {
 
-/// A replica moves between models only for a difference of more than this, so that
-/// small changes of demand cost no loads.
+/// Shortage of replicas above which a replica is moved from one model to another, so that small
+/// changes in demand cause no loads.
 constexpr double kTolerance = 0.75;
-/// Of a model whose demand is not known.
+/// Demand assumed for a model whose demand is unknown.
 constexpr double kUnknownDemand = 1;
 
 double demand_of(const ModelNeed& need) {
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-/// One update, on numbers in place of names. The first update of a term may give away each replica
-/// of the fleet, so that those which could follow a model are kept in the order in which they are
-/// taken: looking through all for each grows with the square of the fleet.
+/// One update, using indices in place of names. The first update of a term may assign every
+/// replica. Candidates are therefore kept sorted: scanning all replicas for each assignment would
+/// be quadratic in the size of the fleet.
 class ReplicaAssignment::Round {
  public:
   Round(ReplicaAssignment& owner, const std::vector<ModelNeed>& needs)
@@ -35,7 +35,7 @@
   }
 
   void run() {
-    // Each round gives one model one replica and takes none from a model that is short.
+    // Each round gives one replica to one model and takes none from a model that lacks replicas.
     const std::size_t most_rounds = models_of_.size() * models_.size();
     for (std::size_t round = 0; round < most_rounds; ++round) {
       const auto shortest = std::max_element(
@@ -51,19 +51,20 @@
   }
 
  private:
-  /// Models that a replica follows, its version (newest first), its texts, and its place.
+  /// Number of models that a replica follows, its version (newest first), its running
+  /// generations, and its position in need->replicas.
   using Rank = std::tuple<std::size_t, std::uint64_t, std::uint32_t, std::size_t>;
   struct Model {
     const ModelNeed* need = nullptr;
-    std::vector<std::size_t> numbers;  ///< of need->replicas
-    /// By replica number, in need->replicas; empty until the candidates are ranked.
-    std::vector<std::optional<std::size_t>> places;
-    std::set<Rank> candidates;  ///< those that do not follow it
+    std::vector<std::size_t> numbers;  ///< replica numbers, parallel to need->replicas
+    /// Positions in need->replicas by replica number; empty until the candidates are ranked.
+    std::vector<std::optional<std::size_t>> positions;
+    std::set<Rank> candidates;  ///< replicas that do not follow the model
     std::vector<char> follows;  ///< by replica number
     std::size_t followers = 0;
     double target = 0;
 
-    /// How many replicas it lacks; below zero when it has too many.
+    /// Returns how many followers the model lacks; negative when it has too many.
     double shortage() const { return target - static_cast<double>(followers); }
   };
 
@@ -80,17 +81,17 @@
     models_of_.assign(numbers.size(), 0);
   }
 
-  /// Replicas that are gone follow nothing any more, nor are models kept that nobody needs.
+  /// Drops replicas that no longer exist and models that are no longer needed.
   void find_followers() {
     std::map<core::ModelName, std::unordered_set<core::ReplicaId>> kept;
     for (Model& model : models_) {
       model.follows.assign(models_of_.size(), 0);
       std::unordered_set<core::ReplicaId>& replicas = kept[model.need->model];
-      for (std::size_t place = 0; place < model.numbers.size(); ++place) {
-        const core::ReplicaId& id = model.need->replicas[place].id;
+      for (std::size_t position = 0; position < model.numbers.size(); ++position) {
+        const core::ReplicaId& id = model.need->replicas[position].id;
         if (owner_.follows(id, model.need->model)) {
           replicas.insert(id);
-          note(model, model.numbers[place], true);
+          set_follows(model, model.numbers[position], true);
         }
       }
     }
@@ -105,84 +106,87 @@
     const auto replicas = static_cast<double>(models_of_.size());
     for (Model& model : models_) {
       const auto most = static_cast<double>(model.numbers.size());
-      const double fewest = std::min(static_cast<double>(owner_.settings_.fewest_replicas), most);
+      const double fewest = std::min(static_cast<double>(owner_.settings_.min_replicas), most);
       const double share =
           replicas * owner_.settings_.models_per_replica * demand_of(*model.need) / demand;
       model.target = std::clamp(std::min(share, largest_use(*model.need)), fewest, most);
     }
   }
 
-  /// \return the replicas beyond which further ones would hardly make texts sooner.
+  /// \return the number of replicas above which more would hardly shorten generation.
   double largest_use(const ModelNeed& need) const {
-    if (need.texts <= 0) {
+    if (need.peak_concurrency <= 0) {
       return static_cast<double>(need.replicas.size());
     }
-    return std::ceil(owner_.settings_.places_per_text * need.texts / std::max(need.slots, 1.0));
+    return std::ceil(owner_.settings_.slots_per_generation * need.peak_concurrency /
+                     std::max(need.slots, 1.0));
   }
 
-  /// Lets followers go that nobody took over, the oldest versions first: a model whose texts
-  /// were not known yet may have been given more than it can use.
+  /// Releases surplus followers that no other model took, oldest versions first. A model may have
+  /// been given more than it can use while its concurrency was unknown.
   void drop_surplus(Model& model) {
     const double most = std::ceil(model.target * (1 + owner_.settings_.surplus_share)) + 1;
     if (static_cast<double>(model.followers) <= most) {
       return;
     }
-    std::vector<std::size_t> places;
-    for (std::size_t place = 0; place < model.numbers.size(); ++place) {
-      if (model.follows[model.numbers[place]] != 0) {
-        places.push_back(place);
+    std::vector<std::size_t> positions;
+    for (std::size_t position = 0; position < model.numbers.size(); ++position) {
+      if (model.follows[model.numbers[position]] != 0) {
+        positions.push_back(position);
       }
     }
-    std::stable_sort(places.begin(), places.end(), [&](std::size_t left, std::size_t right) {
+    std::stable_sort(positions.begin(), positions.end(), [&](std::size_t left, std::size_t right) {
       return model.need->replicas[left].version < model.need->replicas[right].version;
     });
     const auto kept = static_cast<std::size_t>(std::ceil(model.target));
-    for (std::size_t index = 0; index + kept < places.size(); ++index) {
-      note(model, model.numbers[places[index]], false);
-      owner_.followers_[model.need->model].erase(model.need->replicas[places[index]].id);
+    for (std::size_t index = 0; index + kept < positions.size(); ++index) {
+      set_follows(model, model.numbers[positions[index]], false);
+      owner_.followers_[model.need->model].erase(model.need->replicas[positions[index]].id);
     }
   }
 
-  /// Most updates give nothing away, so that this waits until a replica is wanted.
+  /// Called only when a replica is needed, because most updates assign none.
   void rank_candidates(Model& model) {
-    model.places.assign(models_of_.size(), std::nullopt);
-    for (std::size_t place = 0; place < model.numbers.size(); ++place) {
-      const std::size_t number = model.numbers[place];
-      model.places[number] = place;
+    model.positions.assign(models_of_.size(), std::nullopt);
+    for (std::size_t position = 0; position < model.numbers.size(); ++position) {
+      const std::size_t number = model.numbers[position];
+      model.positions[number] = position;
       if (model.follows[number] == 0) {
-        model.candidates.insert(rank_of(model, place));
+        model.candidates.insert(rank_of(model, position));
       }
     }
   }
 
-  Rank rank_of(const Model& model, std::size_t place) {
+  Rank rank_of(const Model& model, std::size_t position) {
     ++owner_.ranked_;
-    const ReplicaVersion& replica = model.need->replicas[place];
-    return {models_of_[model.numbers[place]], ~replica.version.value(), replica.running, place};
+    const ReplicaVersion& replica = model.need->replicas[position];
+    return {models_of_[model.numbers[position]], ~replica.version.value(), replica.running,
+            position};
   }
 
-  /// Acts on the models whose candidates are ranked and which the replica could follow besides.
+  /// Calls \p action for each model with ranked candidates that the replica has but does not
+  /// follow.
   template <class Action>
   void for_each_other(std::size_t number, Action action) {
     for (Model& model : models_) {
-      const bool is_ranked = !model.places.empty();
-      if (is_ranked && model.places[number] && model.follows[number] == 0) {
-        action(model, *model.places[number]);
+      const bool is_ranked = !model.positions.empty();
+      if (is_ranked && model.positions[number] && model.follows[number] == 0) {
+        action(model, *model.positions[number]);
       }
     }
   }
   void add_candidate(std::size_t number) {
-    for_each_other(number, [this](Model& model, std::size_t place) {
-      model.candidates.insert(rank_of(model, place));
+    for_each_other(number, [this](Model& model, std::size_t position) {
+      model.candidates.insert(rank_of(model, position));
     });
   }
   void remove_candidate(std::size_t number) {
-    for_each_other(number, [this](Model& model, std::size_t place) {
-      model.candidates.erase(rank_of(model, place));
+    for_each_other(number, [this](Model& model, std::size_t position) {
+      model.candidates.erase(rank_of(model, position));
     });
   }
 
-  void note(Model& model, std::size_t number, bool follows) {
+  void set_follows(Model& model, std::size_t number, bool follows) {
     remove_candidate(number);
     model.follows[number] = follows ? 1 : 0;
     model.followers += follows ? 1 : -1;
@@ -190,7 +194,8 @@
     add_candidate(number);
   }
 
-  /// Above the wanted sum a replica has to give up one model for another.
+  /// \return whether a replica can be added without taking it from another model: the followers
+  /// of all models are below the sum of the targets.
   bool has_room() const {
     double wanted = 0;
     double had = 0;
@@ -215,23 +220,23 @@
     return donor;
   }
 
-  /// \return the place among \p model's replicas of the one that should follow it next: with
-  /// the fewest models, the newest version, the least work. From \p donor, if there is one.
-  std::optional<std::size_t> best_place(Model& model, const Model* donor) {
-    if (model.places.empty()) {
+  /// \return the position in \p model's replicas of the best next follower: fewest models, newest
+  /// version, fewest generations. Only followers of \p donor are considered if it is not null.
+  std::optional<std::size_t> best_position(Model& model, const Model* donor) {
+    if (model.positions.empty()) {
       rank_candidates(model);
     }
     for (const Rank& candidate : model.candidates) {
       ++owner_.ranked_;
-      const std::size_t place = std::get<3>(candidate);
-      if (donor == nullptr || donor->follows[model.numbers[place]] != 0) {
-        return place;
+      const std::size_t position = std::get<3>(candidate);
+      if (donor == nullptr || donor->follows[model.numbers[position]] != 0) {
+        return position;
       }
     }
     return std::nullopt;
   }
 
-  /// Gives \p model one more replica. \return false when none should move.
+  /// Adds one follower to \p model. \return false when no replica should be moved.
   bool add_follower(Model& model) {
     Model* donor = nullptr;
     if (!has_room()) {
@@ -240,17 +245,17 @@
         return false;
       }
     }
-    const std::optional<std::size_t> best = best_place(model, donor);
+    const std::optional<std::size_t> best = best_position(model, donor);
     if (!best) {
       return false;
     }
     const core::ReplicaId& id = model.need->replicas[*best].id;
     const std::size_t number = model.numbers[*best];
     if (donor != nullptr) {
-      note(*donor, number, false);
+      set_follows(*donor, number, false);
       owner_.followers_[donor->need->model].erase(id);
     }
-    note(model, number, true);
+    set_follows(model, number, true);
     owner_.followers_[model.need->model].insert(id);
     return true;
   }
@@ -258,7 +263,7 @@
   ReplicaAssignment& owner_;
   const std::vector<ModelNeed>& needs_;
   std::vector<Model> models_;
-  std::vector<std::size_t> models_of_;  ///< by replica number: how many it follows
+  std::vector<std::size_t> models_of_;  ///< number of models followed, by replica number
 };
 
 bool ReplicaAssignment::follows(const core::ReplicaId& replica,
--- a/src/weights/weight_loader.cpp
+++ b/src/weights/weight_loader.cpp
@@ -48,15 +48,15 @@
       assignment_pacer_(settings_.assignments),
       orders_(metrics.counter("stoneport_weight_orders_total", "Orders sent to replicas")),
       failed_orders_(metrics.counter("stoneport_weight_order_failures_total",
-                                     "Orders that were not accepted or not carried out in time")),
+                                     "Orders that were not accepted or not completed in time")),
       load_seconds_(metrics.seconds_histogram("stoneport_weight_load_seconds",
-                                              "From an order to its version in force")) {}
+                                              "Time from an order until its version is in use")) {}
 
 void WeightLoader::start() {
   runtime::start(executor_, "weight loader", run(shared_from_this()));
 }
 
-void WeightLoader::hold_back(const std::string& replica_name, core::MonotonicTime until) {
+void WeightLoader::pause_orders(const std::string& replica_name, core::MonotonicTime until) {
   core::MonotonicTime& paused = paused_until_[replica_name];
   paused = std::max(paused, until);
 }
@@ -101,7 +101,7 @@
     need.wanted = version.version;
     need.oldest_allowed = version.oldest_allowed;
     need.demand = version.demand;
-    need.texts = version.texts;
+    need.peak_concurrency = version.peak_concurrency;
     const auto slots = slots_.find(version.service);
     need.slots = slots == slots_.end() ? need.slots : slots->second;
     needs.push_back(std::move(need));
@@ -170,7 +170,7 @@
 
 void WeightLoader::plan_if_due() {
   const core::MonotonicTime now = time_.now();
-  if (!pacer_.is_due(now) || !inputs_.may_order()) {
+  if (!pacer_.is_due(now) || !inputs_.can_send_orders()) {
     return;
   }
   plan(now);
@@ -183,8 +183,8 @@
     assign(wanted, now);
   }
   const std::vector<ModelNeed> needs = needs_of_followers(wanted, now);
-  // What slows loads down is their number among all replicas, not among those that are trained on.
-  const std::uint32_t most_at_once = most_loads_at_once(replicas_of(wanted), settings_.plan);
+  // Loads slow each other down across all replicas, not only those that follow a model.
+  const std::uint32_t most_at_once = max_concurrent_loads(replicas_of(wanted), settings_.plan);
   for (const PlannedLoad& load : plan_loads(needs, most_at_once, settings_.plan)) {
     loading_[load.replica] = load.model;
     runtime::start(
@@ -197,8 +197,8 @@
   return directory_.gate().is_open(replica.record.zone);
 }
 
-void WeightLoader::take_report(const ingress::ReplicaPointer& replica,
-                               const ports::ReplicaReport& report) {
+void WeightLoader::apply_report(const ingress::ReplicaPointer& replica,
+                                const ports::ReplicaReport& report) {
   for (const auto& [model, version] : report.versions) {
     directory_.note_version(replica, model, version);
   }
@@ -216,15 +216,15 @@
     if (!report || report->busy) {
       co_return false;
     }
-    take_report(replica, *report);
+    apply_report(replica, *report);
     order_counts_[target.id] = report->order_count;
   }
   const std::optional<core::MonotonicTime> announced_at = co_await inputs_.announce(target.id);
-  // A pause of this process after the announcement would make it worthless.
+  // After a pause of this process, later holders may no longer take the announcement into account.
   const bool is_late =
-      !announced_at || time_.now() - *announced_at > settings_.longest_announcement;
+      !announced_at || time_.now() - *announced_at > settings_.max_announcement_age;
   const bool is_there = version_of(*replica, model) >= version;
-  if (stopped_ || is_late || is_there || !inputs_.may_order() || !may_reach(*replica)) {
+  if (stopped_ || is_late || is_there || !inputs_.can_send_orders() || !may_reach(*replica)) {
     co_return is_there;
   }
   ports::WeightOrder order;
@@ -253,21 +253,21 @@
 asio::awaitable<bool> WeightLoader::wait_until_loaded(ingress::ReplicaPointer replica,
                                                       core::ModelName model,
                                                       core::WeightVersion version) {
-  const core::MonotonicTime give_up_at = time_.now() + settings_.longest_load;
-  core::Duration pause = settings_.usual_load;
+  const core::MonotonicTime give_up_at = time_.now() + settings_.load_timeout;
+  core::Duration pause = settings_.expected_load_time;
   while (!stopped_ && replica->listed && time_.now() < give_up_at) {
     co_await runtime::sleep_for(pause);
     pause = settings_.report_interval;
     if (version_of(*replica, model) >= version) {
-      co_return true;  // its listing or a stream has told
+      co_return true;  // reported by its directory entry or a stream
     }
     if (!may_reach(*replica)) {
-      co_return false;  // a report is a request too
+      co_return false;  // fetching a report also sends a request to the zone
     }
     ports::ReplicaTarget target{replica->record.id, replica->record.address};
     const core::Result<ports::ReplicaReport> report = co_await client_.report(std::move(target));
     if (report) {
-      take_report(replica, *report);
+      apply_report(replica, *report);
     }
   }
   co_return version_of(*replica, model) >= version;
@@ -287,15 +287,15 @@
   } else {
     self->failed_orders_.Increment();
     self->order_counts_.erase(replica->record.id);
-    self->hold_back(core::replica_name(replica->record.id),
-                    now + self->settings_.pause_after_failure);
+    self->pause_orders(core::replica_name(replica->record.id),
+                       now + self->settings_.pause_after_failure);
   }
   self->loading_.erase(replica->record.id);
   if (self->stopped_) {
     co_return;
   }
   self->inputs_.on_loaded();
-  // With many loads under way the next tick plans for all that end meanwhile.
+  // With many loads in progress, the next tick plans for all that end in the meantime.
   self->plan_if_due();
 }
 
--- a/tests/contract/event_warm_up_test.cpp
+++ b/tests/contract/event_warm_up_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Over real sockets: when a scheduled event starts, the steps' client has a
-/// connection to each engine already. Counted at the engines.
+/// Tests over real sockets that the steps' client has a connection to each engine before a
+/// scheduled event starts. Connections are counted at the engines.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/io_context.hpp>
@@ -23,7 +23,7 @@
 constexpr core::WallTime kStart(1000s);
 const core::EventName kEvent("compounds");
 
-/// Answers reports and counts its connections.
+/// Engine that answers report requests and counts its connections.
 class CountedEngine {
  public:
   explicit CountedEngine(const boost::asio::any_io_executor& executor)
@@ -107,7 +107,7 @@
       CPPUNIT_ASSERT_EQUAL(1.0, engine->connections());
     }
 
-    // The first calls after the start open none.
+    // The first calls after the start reuse the open connections.
     time.set_wall(kStart);
     for (const auto& engine : engines) {
       CPPUNIT_ASSERT(support::run_task(context, reach(factory, engine->address())));
--- a/tests/contract/trainer_interface_test.cpp
+++ b/tests/contract/trainer_interface_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The trainer interface over HTTP, request by request (docs/api/trainers.md).
+/// Tests the trainer interface over HTTP (docs/api/trainers.md).
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <nlohmann/json.hpp>
@@ -22,7 +22,7 @@
                         {"samples_per_prompt", 2},
                         {"epoch_seen", 0}};
 
-/// One daemon's trainer listener.
+/// Trainer listener of one daemon.
 class Listener {
  public:
   explicit Listener(support::StepWorld& world)
@@ -52,9 +52,9 @@
   CPPUNIT_TEST(poll_hands_over_until_held);
   CPPUNIT_TEST(two_polls_at_once);
   CPPUNIT_TEST(fenced_once_then_unknown);
-  CPPUNIT_TEST(refusals_say_when_to_come_back);
+  CPPUNIT_TEST(refusals_carry_a_retry_delay);
   CPPUNIT_TEST(publishing_a_version);
-  CPPUNIT_TEST(unfit_text_does_not_break_an_answer);
+  CPPUNIT_TEST(invalid_utf8_does_not_break_a_response);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -203,7 +203,7 @@
       CPPUNIT_ASSERT(again.body == first.body);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, listener_->service->open_steps());
-    // The trainer comes back from another daemon: a higher epoch than it saw.
+    // The trainer returns from another daemon and needs a higher epoch than the one it saw.
     const Answer back = post(kSteps, changed(kOpenBody, "epoch_seen", 7));
     CPPUNIT_ASSERT(back.body["epoch"] == 8);
   }
@@ -222,7 +222,7 @@
     const json rest = post(kPoll, poll_body("05")).body;
     CPPUNIT_ASSERT(rest["samples"].size() == 2 && rest["complete"] == true);
     CPPUNIT_ASSERT(rest["samples"][0]["sample"] == 1 && rest["samples"][1]["sample"] == 1);
-    // A poll that was overtaken does not bring back what a newer one held.
+    // A poll overtaken by a newer one does not clear slots that the newer one acknowledged.
     CPPUNIT_ASSERT(post(kPoll, poll_body("00")).body["samples"].size() == 2);
   }
 
@@ -253,7 +253,7 @@
     CPPUNIT_ASSERT(post(kSteps, changed(kOpenBody, "epoch_seen", 2)).body["epoch"] == 3);
   }
 
-  void refusals_say_when_to_come_back() {
+  void refusals_carry_a_retry_delay() {
     for (int step = 1; step <= 64; ++step) {
       CPPUNIT_ASSERT_EQUAL(200u, post(kSteps, changed(kOpenBody, "step", step)).status);
     }
@@ -276,13 +276,13 @@
     CPPUNIT_ASSERT(world_->publisher.newest_version == core::WeightVersion(3));
     world_->publisher.fails = true;
     CPPUNIT_ASSERT_EQUAL(503u, post(target, {{"version", 4}, {"size_bytes", 1}}).status);
-    // Not published yet, but the trainer has it: work under version 1 is too old.
+    // The version is not published yet but the trainer reports it, so version 1 is too old.
     post(kSteps, kOpenBody);
     const Answer polled = post(kPoll, poll_body("00", 50));
     CPPUNIT_ASSERT(polled.body["samples"].empty());
   }
 
-  void unfit_text_does_not_break_an_answer() {
+  void invalid_utf8_does_not_break_a_response() {
     PollAnswer answer;
     rollout::Sample sample;
     sample.text = "broken \xff text";
--- a/tests/platform/tenants_test.cpp
+++ b/tests/platform/tenants_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Real processes of the daemon on the platform's stand-in: who may come in with which key,
-/// whose jobs are whose, and the reports of usage.
+/// Tests real daemon processes with the platform stand-in: authentication by key, ownership of
+/// jobs, and usage reports.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "platform/names.hpp"
@@ -14,8 +14,8 @@
 
 class TenantsProcessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TenantsProcessTest);
-  CPPUNIT_TEST(a_key_names_the_tenant_and_never_passes);
-  CPPUNIT_TEST(a_key_that_is_taken_away_is_refused_everywhere);
+  CPPUNIT_TEST(a_key_identifies_the_tenant_and_is_never_forwarded);
+  CPPUNIT_TEST(a_revoked_key_is_refused_everywhere);
   CPPUNIT_TEST(a_job_belongs_to_its_tenant);
   CPPUNIT_TEST(usage_is_reported_once_a_window);
   CPPUNIT_TEST(usage_outlives_its_reporter);
@@ -33,11 +33,11 @@
     return headers;
   }
 
-  /// \return the runs of \p request, after checking that no run has seen a key.
+  /// \return the runs of \p request, after asserting that no run received a key.
   static std::vector<ReplicaRun> runs_of(PlatformStandIn& platform, const std::string& request) {
     std::vector<ReplicaRun> runs;
     for (const ReplicaRun& run : platform.ledger()) {
-      CPPUNIT_ASSERT_MESSAGE(run.request_id + " came with a key", !run.saw_credentials);
+      CPPUNIT_ASSERT_MESSAGE(run.request_id + " was forwarded with a key", !run.saw_credentials);
       if (run.request_id == request) {
         runs.push_back(run);
       }
@@ -45,7 +45,7 @@
     return runs;
   }
 
-  void a_key_names_the_tenant_and_never_passes() {
+  void a_key_identifies_the_tenant_and_is_never_forwarded() {
     PlatformStandIn platform(two_tenants());
     const nlohmann::json open = {{{"name", "open"},
                                   {"host", "users.example"},
@@ -56,7 +56,7 @@
                                   {"maxAttempts", 2},
                                   {"public", true}}};
     platform.configure(2, open);
-    wait_until("the public route is in force",
+    wait_until("the public route is active",
                [&] { return platform.request(0, "GET", "/open/a", "open-0").status == 200; });
     struct Case {
       std::string id;
@@ -86,7 +86,7 @@
         {"k13", "/open/a", with(key_field, "Bearer unknown"), 200, ""},
         {"k14", "/nowhere/a", with(key_field, "Bearer key-s"), 404, ""},
     };
-    // Each answer is cut once, so that a retry goes out too.
+    // The first response is cut off so that retries are covered too.
     for (const Case& one : cases) {
       platform.on_loop([&] {
         const bool is_repeatable = one.target == "/safe/a";
@@ -103,7 +103,7 @@
     }
   }
 
-  void a_key_that_is_taken_away_is_refused_everywhere() {
+  void a_revoked_key_is_refused_everywhere() {
     PlatformStandIn platform(two_tenants());
     platform.use_key("key-n1");
     CPPUNIT_ASSERT_EQUAL(200u, platform.request(1, "GET", "/safe/a", "before").status);
@@ -121,7 +121,7 @@
     CPPUNIT_ASSERT_EQUAL(401u, platform.end(0, "job").status);
     platform.use_key("key-new");
     CPPUNIT_ASSERT_EQUAL(200u, platform.request(2, "GET", "/safe/a", "new").status);
-    // The job goes on, and its tenant's other key reads it.
+    // The job continues and can be read with its tenant's other key.
     platform.use_key("key-n2");
     CPPUNIT_ASSERT(platform.wait_whole(0, "job", 8));
     CPPUNIT_ASSERT_EQUAL(200u, platform.end(0, "job").status);
@@ -154,7 +154,7 @@
     return platform.on_loop([&] { return platform.cloud().reports; });
   }
 
-  /// \return the sum of \p tenant over all windows, each counted once.
+  /// \return the reported count of \p tenant summed over all windows, counting each window once.
   static std::uint64_t reported(PlatformStandIn& platform, const std::string& tenant) {
     std::map<std::uint64_t, std::uint64_t> by_window;
     for (const ReportedUsage& report : reports(platform)) {
@@ -171,7 +171,7 @@
   void usage_is_reported_once_a_window() {
     PlatformStandIn platform(two_tenants());
     platform.use_key("key-s");
-    wait_until("the first report is there", [&] { return !reports(platform).empty(); });
+    wait_until("the first report has arrived", [&] { return !reports(platform).empty(); });
     platform.on_loop([&] {
       platform.cloud().faults.lose_answers = 1;
       platform.replica("plain-0").faults.cut_answers = 2;
@@ -185,7 +185,7 @@
     CPPUNIT_ASSERT_EQUAL(200u, platform.request(0, "GET", "/stream/a", "stream").status);
     platform.use_key("key-n1");
     CPPUNIT_ASSERT_EQUAL(200u, platform.request(0, "GET", "/safe/a", "north-1").status);
-    // Items and the calls that rate them do not count.
+    // Job items and their rating calls are not counted.
     wait_until("all is reported", [&] {
       return reported(platform, "south") == 25 && reported(platform, "north") == 1;
     });
@@ -197,7 +197,7 @@
   void usage_outlives_its_reporter() {
     PlatformStandIn platform(two_tenants());
     platform.use_key("key-s");
-    wait_until("the first report is there", [&] { return !reports(platform).empty(); });
+    wait_until("the first report has arrived", [&] { return !reports(platform).empty(); });
     platform.on_loop([&] { platform.cloud().faults.busy = true; });
     for (int index = 0; index < 9; ++index) {
       const std::string id = "u" + std::to_string(index);
--- a/tests/support/step_world.hpp
+++ b/tests/support/step_world.hpp
@@ -88,7 +88,7 @@
     settings.straggler_interval = std::chrono::milliseconds(2);
     settings.backoff.first = std::chrono::milliseconds(1);
     settings.backoff.longest = std::chrono::milliseconds(5);
-    settings.rebuild_limit = std::chrono::milliseconds(500);
+    settings.recovery_timeout = std::chrono::milliseconds(500);
     steps::StepDependencies dependencies{context.get_executor(),
                                          configuration.subscribe(context.get_executor()),
                                          routing.subscribe(context.get_executor()),
--- a/tests/system/event_start_system_test.cpp
+++ b/tests/system/event_start_system_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// With real processes: a scheduled event is warm before its start, operators see
-/// it and the steps, and a replacement leaves cancelled streams alone.
+/// Tests with real processes that a scheduled event is warm before its start, that the operator
+/// interface shows events and steps, and that a replacement does not adopt cancelled streams.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <chrono>
@@ -44,7 +44,7 @@
     cluster.publish_examples();
     CPPUNIT_ASSERT_EQUAL(std::string("unscheduled"),
                          event_at(cluster, 0).at("phase").get<std::string>());
-    const core::WallTime start = wall_now() + 30s;  // the template's warm-up is as long
+    const core::WallTime start = wall_now() + 30s;  // equal to the template's warm-up
     const std::string file = cluster.write_file(
         "scheduled.toml",
         parameters("scheduled_start = \"" + config::format_wall_time(start) + "\"\n"));
@@ -87,11 +87,11 @@
   void replacement_leaves_cancelled_streams() {
     TestCluster cluster;
     cluster.publish_examples();
-    // With a bound of zero the publication in mid-step cancels all that runs.
+    // With a bound of zero, a publication during the step cancels all running attempts.
     const std::string file = cluster.write_file("bound.toml", parameters("age_bound = 0\n"));
     CPPUNIT_ASSERT_EQUAL(0, cluster.control(0, {"parameters", "publish", "--wait", file}));
     cluster.run_trainer(0, {{"prompts", 32}, {"age_bound", 0}, {"publish_after_samples", 10}});
-    // The engines say so: the daemon counts a cancel before it has arrived.
+    // Counted at the engines, because the daemon counts a cancel before it has arrived.
     wait_until("engines have cancelled streams",
                [&] { return cancelled_on_engines(cluster) >= 20; });
     cluster.kill_daemon(0);
--- a/tests/system/rollout_system_test.cpp
+++ b/tests/system/rollout_system_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The rollout statements under failure, with real processes: exactly once,
-/// within the bound, true versions. The emulated trainer judges each sample.
+/// Tests the rollout guarantees under failure with real processes: exactly-once delivery, within
+/// the age bound, correct versions. The emulated trainer checks each sample.
 #include <cppunit/extensions/HelperMacros.h>
 #include <signal.h>
 
@@ -27,8 +27,8 @@
   CPPUNIT_TEST(daemon_drains_in_mid_step);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Asserts what must hold of every run and says so.
-  static void judge(const json& report, const std::string& faults) {
+  /// Asserts and reports the guarantees that must hold in each run.
+  static void assert_guarantees(const json& report, const std::string& faults) {
     CPPUNIT_ASSERT_EQUAL_MESSAGE(report.dump(), std::string("finished"),
                                  report.at("state").get<std::string>());
     const std::uint64_t missing =
@@ -52,7 +52,7 @@
     cluster.wait_for_samples(20);
     cluster.kill_daemon(0);
     cluster.start_daemon(0);
-    judge(cluster.wait_for_trainer(), "daemon killed and replaced in mid-step");
+    assert_guarantees(cluster.wait_for_trainer(), "daemon killed and replaced in mid-step");
   }
 
   void killed_daemon_is_replaced_while_the_store_is_down() {
@@ -63,7 +63,7 @@
     cluster.set_fault("table_service", {{"disconnect", true}});
     cluster.kill_daemon(0);
     cluster.start_daemon(0);
-    judge(cluster.wait_for_trainer(), "store down through daemon killed and replaced");
+    assert_guarantees(cluster.wait_for_trainer(), "store down through daemon killed and replaced");
   }
 
   void frozen_owner_wakes_after_another_took_over() {
@@ -75,10 +75,10 @@
     cluster.point_trainer_at(1);
     cluster.wait_for_samples(60);
     cluster.signal_daemon(0, SIGCONT);
-    // The woken owner is asked again, and must not hand over as the owner.
+    // The resumed daemon is polled again and must not hand over samples under its old epoch.
     cluster.point_trainer_at(0);
     const json report = cluster.wait_for_trainer();
-    judge(report, "owner frozen, another took over, owner woken and asked again");
+    assert_guarantees(report, "owner frozen, another took over, owner woken and asked again");
   }
 
   void lost_answers_to_polls() {
@@ -88,7 +88,7 @@
     cluster.run_trainer(0, {{"publish_after_samples", 40}});
     const json report = cluster.wait_for_trainer();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, count(report, "lost_poll_answers"));
-    judge(report, "5 hand-overs lost before the acknowledgement");
+    assert_guarantees(report, "5 hand-overs lost before the acknowledgement");
   }
 
   void engines_crash_and_cut_streams() {
@@ -100,7 +100,7 @@
     cluster.emulator_send("POST", "/control/back_ends/proposal-kaliti-hall-1/crash");
     cluster.wait_for_samples(40);
     cluster.emulator_send("POST", "/control/back_ends/proposal-kaliti-hall-1/restart");
-    judge(cluster.wait_for_trainer(), "engine crashed and returned, 10 streams cut");
+    assert_guarantees(cluster.wait_for_trainer(), "engine crashed and returned, 10 streams cut");
   }
 
   void swap_fails_and_leaves_another_version() {
@@ -109,7 +109,7 @@
     const std::string engine = "proposal-sululta-hall-1";
     cluster.set_fault(engine, {{"swap_failures", 2}, {"failed_swap_leaves", 1}});
     cluster.run_trainer(0, {{"steps", 3}, {"publish_after_samples", 40}});
-    judge(cluster.wait_for_trainer(), "2 swaps failed, 6 publications in mid-stream");
+    assert_guarantees(cluster.wait_for_trainer(), "2 swaps failed, 6 publications in mid-stream");
     const std::uint64_t newest = count(cluster.trainer_report(), "current_version");
     wait_until("every engine runs the newest version", [&] {
       const json engines = cluster.emulator_get("/control/engines");
@@ -145,9 +145,10 @@
                                                      "step_deadline = \"4m\"\n"
                                                      "concurrency = 1024\n");
     CPPUNIT_ASSERT_EQUAL(0, cluster.control(0, {"parameters", "publish", "--wait", tightened}));
-    // In force on all daemons: from now on the trainer holds them to it.
+    // The bound now applies on all daemons; from here on the trainer checks it.
     cluster.emulator_send("PUT", "/control/trainers/trainer/switches", {{"age_bound", 0}});
-    judge(cluster.wait_for_trainer(), "bound tightened in mid-step, publication in mid-step");
+    assert_guarantees(cluster.wait_for_trainer(),
+                      "bound tightened in mid-step, publication in mid-step");
   }
 
   void daemon_drains_in_mid_step() {
@@ -156,7 +157,7 @@
     cluster.run_trainer(0, {{"publish_between_steps", false}});
     cluster.wait_for_samples(20);
     cluster.signal_daemon(0, SIGTERM);
-    judge(cluster.wait_for_trainer(), "planned stop in mid-step");
+    assert_guarantees(cluster.wait_for_trainer(), "planned stop in mid-step");
     CPPUNIT_ASSERT_EQUAL(0, cluster.wait_for_daemon(0));
     report_guarantee("a planned stop cuts off no request in flight", "stop in mid-step", 0);
   }
