--- a/tests/unit/rollout/decisions_test.cpp
+++ b/tests/unit/rollout/decisions_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tables for staleness, length prediction, stragglers, placement and schedule.
+/// Table-driven tests of staleness, length prediction, stragglers, placement and event schedule.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "rollout/event_schedule.hpp"
@@ -39,13 +39,13 @@
   }
 
   void admission_looks_ahead() {
-    PublicationRhythm rhythm;
+    PublicationRate publication_rate;
     const core::MonotonicTime start{};
     AdmissionInput input{
         {WeightVersion(2), 1}, WeightVersion(2), start + seconds(100), seconds(90)};
-    CPPUNIT_ASSERT(predict_admission(input, rhythm) == Admission::kAdmit);
-    rhythm.published(WeightVersion(1), start);
-    rhythm.published(WeightVersion(2), start + seconds(100));
+    CPPUNIT_ASSERT(predict_admission(input, publication_rate) == Admission::kAdmit);
+    publication_rate.published(WeightVersion(1), start);
+    publication_rate.published(WeightVersion(2), start + seconds(100));
     struct Case {
       std::uint64_t engine;
       int run_seconds;
@@ -59,7 +59,7 @@
     for (const Case& one : cases) {
       input.engine_version = WeightVersion(one.engine);
       input.expected_run = seconds(one.run_seconds);
-      CPPUNIT_ASSERT(predict_admission(input, rhythm) == one.expected);
+      CPPUNIT_ASSERT(predict_admission(input, publication_rate) == one.expected);
     }
   }
 
@@ -97,7 +97,7 @@
       change(changed);
       return decide_stragglers(changed, lengths, {}).migrations.size();
     };
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, moves([](auto& it) { it.targets[1].free_places = 0; }));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, moves([](auto& it) { it.targets[1].free_capacity = 0; }));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                          moves([](auto& it) { it.targets[1].tokens_per_second = 12; }));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, moves([](auto& it) { it.running[0].migrations = 2; }));
--- a/tests/unit/rollout/event_warm_up_test.cpp
+++ b/tests/unit/rollout/event_warm_up_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What is cold before a scheduled event, over tables of times and engines.
+/// Tests warm-up states and due connections before a scheduled event.
 #include "rollout/event_warm_up.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,9 +13,9 @@
 
 constexpr core::Duration kWarmUp = 100s;
 
-EngineWarmth engine(std::optional<std::uint64_t> version,
-                    std::optional<core::Duration> connection_age) {
-  EngineWarmth one{core::ReplicaId("engine"), {"127.0.0.1", 1}, std::nullopt, connection_age};
+EngineReadiness engine(std::optional<std::uint64_t> version,
+                       std::optional<core::Duration> connection_age) {
+  EngineReadiness one{core::ReplicaId("engine"), {"127.0.0.1", 1}, std::nullopt, connection_age};
   if (version) {
     one.version = core::WeightVersion(*version);
   }
@@ -26,7 +26,7 @@
   CPPUNIT_TEST_SUITE(EventWarmUpTest);
   CPPUNIT_TEST(phases_follow_time_and_what_is_cold);
   CPPUNIT_TEST(connections_are_due_late_and_kept_open);
-  CPPUNIT_TEST(daemon_without_steps_judges_what_it_sees);
+  CPPUNIT_TEST(daemon_without_steps_uses_its_own_reports);
   CPPUNIT_TEST_SUITE_END();
 
   static WarmUpInput input(std::chrono::milliseconds before_start) {
@@ -44,11 +44,11 @@
     struct Case {
       const char* name;
       std::chrono::milliseconds before_start;
-      std::vector<EngineWarmth> engines;
+      std::vector<EngineReadiness> engines;
       std::size_t daemons_behind;
       WarmUpState expected;
     };
-    const EngineWarmth warm = engine(7, 1s);
+    const EngineReadiness warm = engine(7, 1s);
     const Case cases[] = {
         {"long before", 101s, {warm}, 0, WarmUpState::kScheduled},
         {"first moment of the warm-up", 100s, {warm}, 0, WarmUpState::kWarm},
@@ -85,7 +85,7 @@
       bool due;
       std::size_t missing;
     };
-    // The plan opens connections between a half and a tenth of the warm-up before the start.
+    // Connections are opened between half and a tenth of the warm-up before the start.
     const Case cases[] = {{101s, std::nullopt, false, 1},
                           {51s, std::nullopt, false, 1},
                           {9s, std::nullopt, true, 1},
@@ -102,7 +102,7 @@
     }
   }
 
-  void daemon_without_steps_judges_what_it_sees() {
+  void daemon_without_steps_uses_its_own_reports() {
     WarmUpInput given = input(9s);
     given.opens_connections = false;
     given.engines = {engine(7, std::nullopt), engine(std::nullopt, std::nullopt)};
--- a/tests/unit/rollout/freshness_test.cpp
+++ b/tests/unit/rollout/freshness_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Tests of what keeps samples fresh: waiting for engines with the newest weights,
-/// and never moving a sample to an older version.
+/// Tests waiting for engines with the newest weights, and that samples never migrate to an older
+/// version.
 #include "rollout/freshness.hpp"
 
 #include <cppunit/TestAssert.h>
@@ -16,7 +16,7 @@
 class FreshnessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FreshnessTest);
   CPPUNIT_TEST(waits_only_with_time_to_spare);
-  CPPUNIT_TEST(unknown_rhythm_never_waits);
+  CPPUNIT_TEST(unknown_publication_rate_never_waits);
   CPPUNIT_TEST(stragglers_never_move_to_an_older_version);
   CPPUNIT_TEST_SUITE_END();
 
@@ -24,9 +24,9 @@
 
  public:
   void waits_only_with_time_to_spare() {
-    PublicationRhythm rhythm;
-    rhythm.published(core::WeightVersion(1), at(0));
-    rhythm.published(core::WeightVersion(2), at(60));
+    PublicationRate publication_rate;
+    publication_rate.published(core::WeightVersion(1), at(0));
+    publication_rate.published(core::WeightVersion(2), at(60));
     struct Case {
       std::uint64_t in_hand;
       int expected_step;
@@ -35,26 +35,26 @@
       bool waits;
     };
     const Case cases[] = {
-        {0, 1, 61, 0, false},     // the trainer waits now
-        {1, 20, 70, 50, true},    // trains until 120
-        {1, 40, 70, 50, false},   // 40 s and a quarter more take it all
-        {1, 20, 100, 20, false},  // too late for a whole step
-        {2, 40, 100, 80, true},   // another step before this one
-        {1, 0, 120, 0, false},    // the publication is due
-        {1, 0, 150, 0, false},    // and overdue
-        {2, 20, 150, 0, false},   // however much it seems to have in hand
+        {0, 1, 61, 0, false},     // the trainer is waiting now
+        {1, 20, 70, 50, true},    // the trainer trains until 120
+        {1, 40, 70, 50, false},   // 40 s plus a quarter leaves no time
+        {1, 20, 100, 20, false},  // not enough time for a whole step
+        {2, 40, 100, 80, true},   // another step is trained on before this one is needed
+        {1, 0, 120, 0, false},    // the publication is due now
+        {1, 0, 150, 0, false},    // the publication is overdue
+        {2, 20, 150, 0, false},   // overdue, regardless of the number of untrained steps
     };
     for (const Case& one : cases) {
       const FreshnessInput input{one.in_hand, seconds(one.expected_step), at(one.now)};
-      CPPUNIT_ASSERT(seconds(one.until_needed) == time_until_needed(input, rhythm));
-      CPPUNIT_ASSERT_EQUAL(one.waits, should_wait_for_fresh(input, rhythm));
+      CPPUNIT_ASSERT(seconds(one.until_needed) == time_until_needed(input, publication_rate));
+      CPPUNIT_ASSERT_EQUAL(one.waits, should_wait_for_fresh(input, publication_rate));
     }
   }
 
-  void unknown_rhythm_never_waits() {
-    PublicationRhythm rhythm;
-    rhythm.published(core::WeightVersion(1), at(0));
-    CPPUNIT_ASSERT(!should_wait_for_fresh({5, seconds(1), at(1)}, rhythm));
+  void unknown_publication_rate_never_waits() {
+    PublicationRate publication_rate;
+    publication_rate.published(core::WeightVersion(1), at(0));
+    CPPUNIT_ASSERT(!should_wait_for_fresh({5, seconds(1), at(1)}, publication_rate));
   }
 
   void stragglers_never_move_to_an_older_version() {
--- a/tests/unit/rollout/provenance_test.cpp
+++ b/tests/unit/rollout/provenance_test.cpp
@@ -22,7 +22,7 @@
     std::string name;
     std::vector<GeneratedChunk> chunks;
     std::uint64_t stated_count;
-    std::optional<UnfitReason> unfit;
+    std::optional<SampleDefect> defect;
     std::vector<VersionSpan> spans;
   };
 
@@ -37,20 +37,20 @@
          3,
          {},
          {{v4, 1}, {v3, 1}, {v4, 1}}},
-        {"no version", {{0, 2, "ab", v3}, {2, 1, "c", {}}}, 3, UnfitReason::kVersionMissing, {}},
-        {"gap", {{0, 2, "ab", v3}, {3, 1, "c", v3}}, 4, UnfitReason::kGap, {}},
-        {"overlap", {{0, 2, "ab", v3}, {1, 2, "bc", v3}}, 3, UnfitReason::kOverlap, {}},
-        {"fault stays", {{1, 1, "a", v3}, {0, 1, "a", v3}}, 1, UnfitReason::kGap, {}},
-        {"other count", {{0, 2, "ab", v3}}, 3, UnfitReason::kCountMismatch, {}},
-        {"empty", {}, 0, UnfitReason::kEmpty, {}},
+        {"no version", {{0, 2, "ab", v3}, {2, 1, "c", {}}}, 3, SampleDefect::kVersionMissing, {}},
+        {"gap", {{0, 2, "ab", v3}, {3, 1, "c", v3}}, 4, SampleDefect::kGap, {}},
+        {"overlap", {{0, 2, "ab", v3}, {1, 2, "bc", v3}}, 3, SampleDefect::kOverlap, {}},
+        {"fault stays", {{1, 1, "a", v3}, {0, 1, "a", v3}}, 1, SampleDefect::kGap, {}},
+        {"other count", {{0, 2, "ab", v3}}, 3, SampleDefect::kCountMismatch, {}},
+        {"empty", {}, 0, SampleDefect::kEmpty, {}},
     };
     for (const Case& one : cases) {
       ProvenanceBuilder builder;
       for (const GeneratedChunk& chunk : one.chunks) {
         builder.add(chunk);
       }
-      CPPUNIT_ASSERT_MESSAGE(one.name, builder.finish(one.stated_count) == one.unfit);
-      if (!one.unfit) {
+      CPPUNIT_ASSERT_MESSAGE(one.name, builder.finish(one.stated_count) == one.defect);
+      if (!one.defect) {
         CPPUNIT_ASSERT_MESSAGE(one.name, builder.spans() == one.spans);
         CPPUNIT_ASSERT_MESSAGE(one.name, builder.text() == "abc");
         CPPUNIT_ASSERT_MESSAGE(one.name, builder.oldest() == v3);
@@ -87,7 +87,7 @@
     const auto again = ownership.open(event, core::Epoch(12));
     CPPUNIT_ASSERT(again.epoch == core::Epoch(13));
     CPPUNIT_ASSERT(again.taken_over);
-    ownership.lose(event);
+    ownership.mark_lost(event);
     const auto after_loss = ownership.open(event, core::Epoch(0));
     CPPUNIT_ASSERT(after_loss.epoch == core::Epoch(14));
     CPPUNIT_ASSERT(after_loss.taken_over);
--- a/tests/unit/rollout/step_ledger_test.cpp
+++ b/tests/unit/rollout/step_ledger_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The ledger's rules one at a time; their interplay is in step_walk_test.cpp.
+/// Tests the ledger's rules individually; step_walk_test.cpp tests them in combination.
 #include "rollout/step_ledger.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -21,11 +21,11 @@
   CPPUNIT_TEST(bitmap_forms);
   CPPUNIT_TEST(second_result_is_dropped);
   CPPUNIT_TEST(unacknowledged_sample_is_handed_over_again);
-  CPPUNIT_TEST(late_poll_does_not_take_back);
+  CPPUNIT_TEST(late_poll_does_not_revoke_acknowledgements);
   CPPUNIT_TEST(reopening_forgets_what_was_held);
   CPPUNIT_TEST(too_old_sample_is_dropped_at_hand_over);
   CPPUNIT_TEST(answer_is_limited);
-  CPPUNIT_TEST(spare_takes_the_slot_that_is_least_far);
+  CPPUNIT_TEST(spare_takes_the_slot_with_the_least_progress);
   CPPUNIT_TEST_SUITE_END();
 
   const AgeRule rule_{WeightVersion(5), 1};
@@ -94,7 +94,7 @@
     CPPUNIT_ASSERT(ledger.all_held());
   }
 
-  void late_poll_does_not_take_back() {
+  void late_poll_does_not_revoke_acknowledgements() {
     StepLedger ledger(shape_);
     ledger.finish_spare(sample_for({0, 0}, 5), rule_);
     ledger.hand_over(held({0}), {}, rule_);
@@ -130,7 +130,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger.hand_over(held({}), {9, 1}, rule_).samples.size());
   }
 
-  void spare_takes_the_slot_that_is_least_far() {
+  void spare_takes_the_slot_with_the_least_progress() {
     CPPUNIT_ASSERT(!slot_for_spare({}));
     CPPUNIT_ASSERT(slot_for_spare({{{0, 0}, 9, true}, {{0, 1}, 4, true}}) == SlotId({0, 1}));
     CPPUNIT_ASSERT(slot_for_spare({{{0, 0}, 9, false}, {{0, 1}, 4, true}}) == SlotId({0, 0}));
--- a/tests/unit/rollout/step_walk.cpp
+++ b/tests/unit/rollout/step_walk.cpp
@@ -14,7 +14,7 @@
   return static_cast<char>('a' + version.value());
 }
 
-/// One token, stamped with the version that made it.
+/// Returns a token that encodes the version that generated it.
 GeneratedChunk chunk_at(const std::string& text, std::size_t offset) {
   const core::WeightVersion version(static_cast<std::uint64_t>(text[offset] - 'a'));
   return GeneratedChunk{offset, 1, std::string_view(text).substr(offset, 1), version};
@@ -71,7 +71,7 @@
     case 8:
       return random_.chance(0.3) ? daemon_dies(any_daemon()) : engine_works();
     case 9: {
-      // The operator changes the bound; each daemon learns of it in its own time.
+      // The operator changes the bound; each daemon receives the change at its own time.
       if (random_.chance(0.2)) {
         bound_ = static_cast<std::uint32_t>(random_.uniform(0, 2));
         count("bound changed");
@@ -106,7 +106,7 @@
   }
 }
 
-/// Faults stop; both daemons run and the trainer stays where it is.
+/// Runs the step to its end without faults: both daemons run and the trainer keeps its daemon.
 void StepWalk::settle() {
   settling_ = true;
   for (auto& daemon : daemons_) {
@@ -148,7 +148,7 @@
   if (target().frozen || version_.value() >= kMostVersions) {
     return;
   }
-  outstanding_ = 0;  // a trainer publishes between polls
+  outstanding_ = 0;  // the trainer has no poll pending while it publishes
   version_ = version_.next();
   target().current = std::max(target().current, version_);
   count("version published");
@@ -164,7 +164,7 @@
     daemon.step->ledger.forget_acknowledgements();
   } else {
     if (daemon.step) {
-      daemon.ownership.lose(event_);
+      daemon.ownership.mark_lost(event_);
     }
     const EventOwnership::Opening opening = daemon.ownership.open(event_, epoch_seen_);
     daemon.step.emplace(shape_);
@@ -202,7 +202,7 @@
   const std::size_t index = random_.uniform(0, answers_.size() - 1);
   const Answer answer = answers_[index];
   answers_.erase(answers_.begin() + static_cast<std::ptrdiff_t>(index));
-  // Any other answer comes over a connection that the trainer has closed.
+  // Any other response arrives on a connection that the trainer has closed.
   if (answer.poll != outstanding_ || answer.epoch < epoch_seen_) {
     count("answer came too late");
     return;
@@ -213,7 +213,7 @@
     take(sample, answer.bound);
   }
   if (answer.content.complete && !is_done()) {
-    violation("complete was said of a step with slots missing");
+    violation("a step with missing slots was reported as complete");
   }
 }
 
@@ -227,15 +227,15 @@
   for (const VersionSpan& span : sample.spans) {
     named.append(span.token_count, letter_of(span.version));
     if (span.version.value() + bound < version_.value()) {
-      violation("a sample is over the bound");
+      violation("a sample exceeds the age bound");
     }
   }
   const std::string& made = made_.at(sample.engine.value());
   if (named != made) {
-    violation("spans do not name the versions that made the tokens");
+    violation("the spans do not match the versions that generated the tokens");
   }
   if (sample.text != made) {
-    violation("the text is not the whole text of its stream");
+    violation("the text is not the complete text of its stream");
   }
 }
 
@@ -247,7 +247,7 @@
   step.ledger.discard_too_old(daemon.rule());
   std::vector<core::SlotId> slots = step.ledger.idle_slots();
   if (!settling_ && random_.chance(0.3)) {
-    // A second attempt beside a running one, as after an engine seemed dead.
+    // Start a second attempt beside a running one, as happens when an engine seems dead.
     const core::SlotId slot = shape_.slot_at(random_.uniform(0, shape_.slot_count() - 1));
     if (step.ledger.is_missing(slot)) {
       slots.push_back(slot);
@@ -257,7 +257,7 @@
   for (const core::SlotId slot : slots) {
     if (!starts(daemon, slot)) {
       daemon.step.reset();
-      daemon.ownership.lose(event_);
+      daemon.ownership.mark_lost(event_);
       count("fenced by an engine");
       return;
     }
@@ -355,14 +355,14 @@
   if (daemon.frozen || daemon.inbox.empty()) {
     return;
   }
-  // Polls may overtake one another.
+  // Polls may be reordered.
   const std::size_t index =
       settling_ ? daemon.inbox.size() - 1 : random_.uniform(0, daemon.inbox.size() - 1);
   const Poll poll = daemon.inbox[index];
   daemon.inbox.erase(daemon.inbox.begin() + static_cast<std::ptrdiff_t>(index));
   if (daemon.step && poll.epoch_seen > daemon.step->epoch) {
     daemon.step.reset();
-    daemon.ownership.lose(event_);
+    daemon.ownership.mark_lost(event_);
     count("fenced by the trainer");
   }
   if (!daemon.step) {
@@ -385,7 +385,7 @@
   daemons_[index]->bound = bound_;
   count("daemon killed");
   if (random_.chance(0.5)) {
-    // The table service is reachable at the replacement's start.
+    // The table service is reachable when the replacement starts.
     granted_ = std::max(granted_, epoch_seen_.value()) + 1;
     daemons_[index]->ownership.grant(core::Epoch(granted_));
   }
@@ -416,7 +416,7 @@
     count("stream given up by the engine");
     return;
   }
-  // A swap that works, or one that fails and leaves an older version.
+  // A weight swap either succeeds or fails and leaves an older version.
   engine.version = core::WeightVersion(random_.uniform(1, version_.value()));
   count("weights swapped");
 }
--- a/tests/unit/rollout/step_walk_test.cpp
+++ b/tests/unit/rollout/step_walk_test.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// At least 10,000 seeded walks (step_walk.hpp). STONEPORT_WALK_SEED=N runs the
-/// one walk N; STONEPORT_WALK_COUNT=N runs N of them from seed 1.
+/// Runs 20,000 seeded random walks (step_walk.hpp) and checks that each sample is delivered once,
+/// within the age bound and with the correct versions. STONEPORT_WALK_SEED=N runs only the walk
+/// with seed N; STONEPORT_WALK_COUNT=N runs the walks with seeds 1 to N.
 #include "step_walk.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,17 +12,17 @@
 namespace stoneport::rollout {
 namespace {
 
-std::uint64_t number_from_environment(const char* name, std::uint64_t otherwise) {
+std::uint64_t number_from_environment(const char* name, std::uint64_t fallback) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
 class StepWalkTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StepWalkTest);
-  CPPUNIT_TEST(each_sample_once_fresh_and_true);
+  CPPUNIT_TEST(each_sample_is_delivered_once_fresh_and_correct);
   CPPUNIT_TEST_SUITE_END();
 
-  void each_sample_once_fresh_and_true() {
+  void each_sample_is_delivered_once_fresh_and_correct() {
     constexpr std::uint64_t kWalks = 20'000;
     const std::uint64_t only = number_from_environment("STONEPORT_WALK_SEED", 0);
     const std::uint64_t last =
--- a/tests/unit/steps/event_history_test.cpp
+++ b/tests/unit/steps/event_history_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of what the steps of an event leave for the later ones.
+/// Tests the statistics that an event's steps pass on to later ones.
 #include <cppunit/TestAssert.h>
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,11 +10,11 @@
 
 class EventHistoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EventHistoryTest);
-  CPPUNIT_TEST(each_publication_uses_up_one_step);
+  CPPUNIT_TEST(each_publication_trains_one_step);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void each_publication_uses_up_one_step() {
+  void each_publication_trains_one_step() {
     struct Case {
       std::uint64_t completed;
       std::uint64_t counted_from;
@@ -23,14 +23,14 @@
     };
     const Case cases[] = {
         {0, 0, 7, 0}, {1, 4, 4, 1}, {1, 4, 5, 0},
-        {3, 4, 5, 2}, {2, 4, 9, 0},  // published more often than steps were completed
+        {3, 4, 5, 2}, {2, 4, 9, 0},  // more publications than completed steps
         {2, 4, 3, 2},
     };
     for (const Case& one : cases) {
       EventHistory history;
       history.steps_completed = one.completed;
       history.counted_from = core::WeightVersion(one.counted_from);
-      CPPUNIT_ASSERT_EQUAL(one.in_hand, history.steps_in_hand(core::WeightVersion(one.current)));
+      CPPUNIT_ASSERT_EQUAL(one.in_hand, history.untrained_steps(core::WeightVersion(one.current)));
     }
   }
 };
--- a/tests/unit/steps/step_service_test.cpp
+++ b/tests/unit/steps/step_service_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Steps from open to the last sample over fake engines, with faults.
+/// Tests steps from opening to the last sample with fake engines and injected faults.
 #include "steps/step_service.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -23,14 +23,14 @@
   CPPUNIT_TEST(lost_answer_is_handed_over_again);
   CPPUNIT_TEST(replacement_resumes_streams);
   CPPUNIT_TEST(replacement_leaves_cancelled_streams);
-  CPPUNIT_TEST(reports_tell_the_state_of_open_steps);
+  CPPUNIT_TEST(reports_show_open_steps);
   CPPUNIT_TEST(replacement_ignores_another_step_s_streams);
   CPPUNIT_TEST(woken_daemon_is_fenced_by_the_trainer);
   CPPUNIT_TEST(woken_daemon_is_fenced_by_an_engine);
   CPPUNIT_TEST(published_version_ends_work_that_is_too_old);
   CPPUNIT_TEST(tightened_bound_drops_waiting_samples);
   CPPUNIT_TEST(groups_spread_over_engines);
-  CPPUNIT_TEST(old_engines_get_nothing);
+  CPPUNIT_TEST(engines_with_old_weights_get_no_streams);
   CPPUNIT_TEST(straggler_is_moved);
   CPPUNIT_TEST(spares_fill_a_group);
   CPPUNIT_TEST(newer_poll_ends_the_older);
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT_EQUAL(4u, world.generations());
   }
 
-  /// Opens a step of six samples whose streams stop in the middle.
+  /// Opens a step of six samples whose streams pause in the middle.
   static void start_and_hold_streams(StepWorld& world, TestTrainer& trainer,
                                      steps::StepService& daemon) {
     for (const auto& engine : world.engines) {
@@ -112,7 +112,7 @@
     TestTrainer trainer(world, 3, 2);
     const auto first = world.daemon("first");
     start_and_hold_streams(world, trainer, *first);
-    // A daemon that has just started knows no engines yet.
+    // A newly started daemon knows no engines yet.
     const auto table = world.routing.current();
     world.routing.publish(std::make_shared<routing::RoutingTable>());
     const auto second = world.daemon("second");
@@ -158,7 +158,7 @@
                          metrics.counter("stoneport_streams_found_cancelled_total", "").Value());
   }
 
-  void reports_tell_the_state_of_open_steps() {
+  void reports_show_open_steps() {
     StepWorld world;
     for (const auto& engine : world.engines) {
       engine->tokens_allowed = 6;
@@ -232,7 +232,7 @@
     trainer.open(*second);
     trainer.poll(*second, kNoWait);
     CPPUNIT_ASSERT(world.run_until([&] { return runner->stopped().has_value(); }));
-    CPPUNIT_ASSERT(runner->stopped() == StepStop::kFenced);
+    CPPUNIT_ASSERT(runner->stopped() == StepStopReason::kFenced);
     CPPUNIT_ASSERT(trainer.complete(*second));
     CPPUNIT_ASSERT(trainer.is_clean());
     const core::Epoch before = trainer.epoch_seen;
@@ -296,7 +296,7 @@
     }
   }
 
-  void old_engines_get_nothing() {
+  void engines_with_old_weights_get_no_streams() {
     StepWorld world;
     world.engines[2]->version = core::WeightVersion(5);
     world.apply_routing(routing::ReplicaDigest{});
@@ -348,7 +348,7 @@
     trainer.open(*daemon);
     trainer.poll(*daemon, kNoWait);
     CPPUNIT_ASSERT(world.run_until([&] { return world.generations() == 6; }));
-    // Two of the group's own streams never end; the spares take their slots.
+    // Two of the group's regular streams never end; the spares fill their slots.
     std::size_t stuck = 0;
     for (const auto& engine : world.engines) {
       for (auto& [id, stream] : engine->streams) {
--- a/tests/unit/usage/usage_counter_test.cpp
+++ b/tests/unit/usage/usage_counter_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Counting runs by window, each once, and telling when a window is complete; the records.
+/// Tests counting requests by window, detecting complete windows, freezing, and the records.
 #include "usage/usage_counter.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -17,10 +17,10 @@
   CPPUNIT_TEST(a_request_counts_once_by_its_first_run);
   CPPUNIT_TEST(a_window_is_complete_once_nothing_is_open);
   CPPUNIT_TEST(a_correction_at_a_windows_edge_leaves_nothing_open);
-  CPPUNIT_TEST(a_step_of_the_time_of_day_moves_nothing);
+  CPPUNIT_TEST(a_wall_clock_jump_moves_no_request);
   CPPUNIT_TEST(a_lasting_difference_is_adopted);
-  CPPUNIT_TEST(records_come_back_as_they_were);
-  CPPUNIT_TEST(a_window_is_frozen_when_all_have_told_or_it_is_late);
+  CPPUNIT_TEST(records_round_trip);
+  CPPUNIT_TEST(a_window_is_frozen_when_all_processes_are_complete_or_it_is_late);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr WindowIndex kFirst = 1000;
@@ -95,8 +95,9 @@
     CPPUNIT_ASSERT(world.counter.counts().empty());
   }
 
-  /// A process whose request fell on an edge never told that its window was complete, and held
-  /// up the reports of four windows by 6 s each.
+  /// Guards against an open count that is never closed: a clock correction moved a request at a
+  /// window's edge to another window, the process never reported its window as complete, and the
+  /// reports of four windows were delayed by 6 s each.
   void a_correction_at_a_windows_edge_leaves_nothing_open() {
     World world;
     world.time.advance(milliseconds(4995));
@@ -109,7 +110,7 @@
     CPPUNIT_ASSERT_EQUAL(kFirst, world.counter.complete_through());
   }
 
-  void a_step_of_the_time_of_day_moves_nothing() {
+  void a_wall_clock_jump_moves_no_request() {
     World world;
     world.time.set_wall(world.time.wall_now() + seconds(20));
     CPPUNIT_ASSERT_EQUAL(kFirst, world.clock.current());
@@ -131,7 +132,7 @@
     CPPUNIT_ASSERT_EQUAL(kFirst + (20 + 61) / 5, world.clock.current());
   }
 
-  void records_come_back_as_they_were() {
+  void records_round_trip() {
     ProcessCounts counts;
     counts.complete_through = 7;
     counts.windows[6][core::TenantName("north")] = 3;
@@ -152,7 +153,7 @@
     }
   }
 
-  void a_window_is_frozen_when_all_have_told_or_it_is_late() {
+  void a_window_is_frozen_when_all_processes_are_complete_or_it_is_late() {
     const FreezeSettings settings;
     CountsByProcess processes;
     processes["a"].complete_through = 5;
--- a/tests/unit/usage/usage_walk_test.cpp
+++ b/tests/unit/usage/usage_walk_test.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// Random schedules of two reporters over one store and one platform: pauses with a call in
-/// hand, writes that are carried out late, lost answers, changes of the holder at any moment.
-/// No window is ever reported with two differing counts, fences never fall, and holders never
-/// act by turns within the lease time.
+/// Random schedules of two reporters with one store and one platform: pauses during a call,
+/// delayed writes, lost responses, and changes of the term's holder at any time. Checks that no
+/// window is reported with two different counts, fencing tokens never decrease, and calls of
+/// different holders do not interleave within the lease time.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -22,7 +22,7 @@
 constexpr int kSchedules = 60;
 constexpr const char* kSeedVariable = "STONEPORT_USAGE_WALK_SEED";
 
-/// The platform as it judges calls; calls may be lost, refused or hang.
+/// Platform that records violations by the calls it gets; calls may be lost, refused or hang.
 class FakePlatform : public ports::DutyClient {
  public:
   explicit FakePlatform(core::RandomSource& random) : random_(random) {}
@@ -59,18 +59,18 @@
     const auto now = std::chrono::steady_clock::now();
     const auto [known, is_new] = taken.try_emplace(report.window, report.counts);
     if (!is_new && known->second != report.counts) {
-      violations.push_back("two counts of window " + std::to_string(report.window));
+      violations.push_back("two different counts of window " + std::to_string(report.window));
     }
     if (holder.fence.value() < fence_) {
-      violations.emplace_back("a lower fence after a higher one");
+      violations.emplace_back("the fence decreased");
     }
     if (holder.fence.value() == fence_ && holder.name != holder_) {
-      violations.emplace_back("one fence of two holders");
+      violations.emplace_back("two holders with the same fence");
     }
     if (holder.name != holder_) {
       const auto last = last_call_.find(holder.name);
       if (last != last_call_.end() && now - last->second < kLease) {
-        violations.emplace_back("holders by turns within the lease time");
+        violations.emplace_back("interleaved calls of two holders within the lease time");
       }
     }
     fence_ = std::max(fence_, holder.fence.value());
@@ -90,12 +90,13 @@
   CPPUNIT_TEST(windows_are_reported_once_under_every_schedule);
   CPPUNIT_TEST_SUITE_END();
 
-  /// One process that may hold the term.
+  /// A process that may hold the term.
   struct Process {
     std::string name;
     std::shared_ptr<UsageReporter> reporter;
-    /// Its own belief; it lags behind a change of the term, as a paused process's does.
-    std::shared_ptr<bool> believes = std::make_shared<bool>(false);
+    /// Whether the process considers itself the holder. Updated late after a change of the term,
+    /// as in a paused process.
+    std::shared_ptr<bool> is_holder = std::make_shared<bool>(false);
   };
 
   struct World {
@@ -109,10 +110,10 @@
       bid.writes.push_back(
           {std::string(jobs::kTermTable), std::string(jobs::kTermKey), jobs::encode_term(record)});
       const core::Revision revision = *store.apply(bid);
-      process.believes = std::make_shared<bool>(true);
-      const auto believes = process.believes;
+      process.is_holder = std::make_shared<bool>(true);
+      const auto is_holder = process.is_holder;
       jobs::TermContext context{{core::Epoch(epoch), revision, {}},
-                                [believes] { return *believes; }};
+                                [is_holder] { return *is_holder; }};
       UsageReporterSettings settings;
       settings.holder = process.name;
       settings.freeze = {milliseconds(4), milliseconds(20)};
@@ -139,13 +140,13 @@
     }
 
     static void lose(Process& process) {
-      *process.believes = false;
+      *process.is_holder = false;
       if (process.reporter) {
         process.reporter->stop();
       }
     }
 
-    /// The processes go on counting, and mostly tell after the window is frozen.
+    /// The processes keep counting, and mostly write their counts after the window is frozen.
     void count() {
       for (const char* name : {"one", "two"}) {
         ProcessCounts& counts = counted[name];
@@ -208,7 +209,7 @@
       if (world.random.chance(0.15)) {
         const std::size_t former = holder;
         holder = 1 - holder;
-        // The former holder learns of its loss some time after the other one has gained.
+        // The former holder notices the loss of the term some time after the other has gained it.
         world.gain(processes[holder]);
         world.run_for(milliseconds(world.random.uniform(0, 8)));
         World::lose(processes[former]);
--- a/tests/unit/weights/load_plan_test.cpp
+++ b/tests/unit/weights/load_plan_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which replicas load a version next, as a table of cases.
+/// Tests which replicas load a version next.
 #include "weights/load_plan.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,7 +13,7 @@
   CPPUNIT_TEST(more_replicas_load_more_at_once);
   CPPUNIT_TEST_SUITE_END();
 
-  /// One replica: its version, then '+' when it loads, '-' when it is not available.
+  /// Parses a replica: its version, then '+' when it is loading or '-' when it is unavailable.
   static ReplicaVersion replica(std::size_t index, const std::string& text) {
     ReplicaVersion made;
     made.id = core::ReplicaId(std::to_string(index));
@@ -24,7 +24,8 @@
     return made;
   }
 
-  /// \param numbers of the replicas, so that models may share them
+  /// \param replicas one entry per replica, in the format of replica(); the index is its id, so
+  /// that models may share replicas
   static ModelNeed need(const std::string& model, std::uint64_t wanted, std::uint64_t oldest,
                         const std::vector<std::string>& replicas) {
     ModelNeed made;
@@ -56,11 +57,11 @@
     };
     const Case cases[] = {
         {"nothing to do", 1, 1, {"1", "1", "1", "1"}, ""},
-        {"half of them, the idlest first", 2, 1, {"1", "1", "1", "1"}, "m3m2"},
+        {"half of them, fewest generations first", 2, 1, {"1", "1", "1", "1"}, "m3m2"},
         {"no more than two at once", 2, 1, {"1+", "1+", "1", "1"}, ""},
         {"half have it", 2, 1, {"2", "2", "1", "1"}, ""},
-        {"those too old, although half have it", 4, 3, {"4", "4", "2", "3"}, "m2"},
-        {"those too old come first", 3, 2, {"2", "2", "1", "1"}, "m3m2"},
+        {"too old ones, although half have the newest", 4, 3, {"4", "4", "2", "3"}, "m2"},
+        {"too old ones come first", 3, 2, {"2", "2", "1", "1"}, "m3m2"},
         {"not available", 2, 1, {"1", "1", "1-", "1-"}, "m1m0"},
         {"one replica", 2, 2, {"1"}, "m0"},
     };
@@ -71,14 +72,14 @@
   }
 
   void models_on_the_same_replicas_take_turns() {
-    // Both were named a version; neither may wait for the other to be done.
+    // Both have a new version; neither may wait until the other has finished.
     const std::vector<std::string> behind = {"1", "1", "1", "1"};
     CPPUNIT_ASSERT_EQUAL(std::string("a3b2"),
                          orders_of({need("a", 2, 1, behind), need("b", 2, 1, behind)}));
-    // One that fell far behind comes before one that is well served.
+    // A model that is far behind comes before one that is well served.
     CPPUNIT_ASSERT_EQUAL(std::string("b3b2"), orders_of({need("a", 5, 4, {"5", "4", "4", "4"}),
                                                          need("b", 3, 2, behind)}));
-    // A load of the other model counts against what may load at once.
+    // Loads of the other model count towards the limit on concurrent loads.
     CPPUNIT_ASSERT_EQUAL(std::string("b3"), orders_of({need("a", 2, 1, {"1+", "1", "1", "1"}),
                                                        need("b", 2, 1, {"1-", "1", "1", "1"})}));
   }
@@ -87,7 +88,7 @@
     const std::pair<std::size_t, std::uint32_t> cases[] = {{0, 1}, {1, 1}, {4, 1},
                                                            {8, 2}, {9, 2}, {35, 7}};
     for (const auto& [replicas, at_once] : cases) {
-      CPPUNIT_ASSERT_EQUAL(at_once, most_loads_at_once(replicas, LoadPlanSettings()));
+      CPPUNIT_ASSERT_EQUAL(at_once, max_concurrent_loads(replicas, LoadPlanSettings()));
     }
   }
 };
--- a/tests/unit/weights/keep_up_test.cpp
+++ b/tests/unit/weights/load_simulation_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Plays the plans of loads over several steps: do the replicas keep up with the
-/// versions that trainers name? Plain code against a clock of its own.
+/// Simulates load planning over several steps with a virtual clock and checks that the replicas
+/// keep up with the versions that trainers announce.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "weights/load_plan.hpp"
@@ -12,10 +12,10 @@
 constexpr int kTickMs = 100;
 constexpr int kLoadMs = 930;
 constexpr int kStepMs = 4000;
-/// How long after a version was named its jobs should have enough replicas.
-constexpr int kPatienceMs = 2500;
+/// Time after an announcement by which its jobs should have enough replicas.
+constexpr int kCatchUpMs = 2500;
 
-/// Replicas that share some models, and trainers that name a version each step.
+/// Replicas that share some models, and trainers that announce a version in each step.
 class Fleet {
  public:
   Fleet(std::size_t replicas, std::size_t models, AssignmentSettings assignment)
@@ -53,7 +53,7 @@
         return !replica.loading && !assignment_.follows(replica.id, need.model);
       });
     }
-    const std::uint32_t at_once = most_loads_at_once(loading_until_.size(), settings);
+    const std::uint32_t at_once = max_concurrent_loads(loading_until_.size(), settings);
     for (const PlannedLoad& load : plan_loads(followed, at_once, settings)) {
       const std::size_t index = std::stoul(load.replica.value());
       loading_until_[index] = now_ms + kLoadMs;
@@ -64,7 +64,7 @@
     }
   }
 
-  /// \return replicas that serve the newest job of the model served worst.
+  /// \return the number of replicas that can serve the newest job of the worst-served model.
   std::size_t fewest_serving() const {
     std::size_t fewest = loading_until_.size();
     for (const ModelNeed& need : needs_) {
@@ -98,9 +98,9 @@
   ReplicaAssignment assignment_;
 };
 
-/// \return the fewest replicas that served any step once its patience was over.
-std::size_t play(std::size_t replicas, std::size_t models, AssignmentSettings assignment,
-                 const LoadPlanSettings& settings) {
+/// \return the lowest fewest_serving() over all steps, taken kCatchUpMs after the announcement.
+std::size_t simulate(std::size_t replicas, std::size_t models, AssignmentSettings assignment,
+                     const LoadPlanSettings& settings) {
   constexpr int kSteps = 12;
   Fleet fleet(replicas, models, assignment);
   std::size_t fewest = replicas;
@@ -109,7 +109,7 @@
       fleet.name_versions();
     }
     fleet.tick(now_ms, settings);
-    if (now_ms % kStepMs == kPatienceMs) {
+    if (now_ms % kStepMs == kCatchUpMs) {
       fewest = std::min(fewest, fleet.fewest_serving());
     }
   }
@@ -118,8 +118,8 @@
 
 }  // namespace
 
-class KeepUpTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(KeepUpTest);
+class LoadSimulationTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LoadSimulationTest);
   CPPUNIT_TEST(one_model);
   CPPUNIT_TEST(three_models_on_nine_replicas);
   CPPUNIT_TEST(three_models_on_thirty_five_replicas);
@@ -127,26 +127,28 @@
   CPPUNIT_TEST(replicas_that_follow_every_model_fall_behind);
   CPPUNIT_TEST_SUITE_END();
 
-  void one_model() { CPPUNIT_ASSERT_EQUAL(std::size_t{8}, play(8, 1, {}, {})); }
+  void one_model() { CPPUNIT_ASSERT_EQUAL(std::size_t{8}, simulate(8, 1, {}, {})); }
 
-  void three_models_on_nine_replicas() { CPPUNIT_ASSERT(play(9, 3, {1.0, 2}, {}) >= 2); }
+  void three_models_on_nine_replicas() { CPPUNIT_ASSERT(simulate(9, 3, {1.0, 2}, {}) >= 2); }
 
   void replicas_may_follow_more_than_one_model() {
-    CPPUNIT_ASSERT(play(35, 3, AssignmentSettings(), {}) >= 9);
+    CPPUNIT_ASSERT(simulate(35, 3, AssignmentSettings(), {}) >= 9);
   }
 
-  void three_models_on_thirty_five_replicas() { CPPUNIT_ASSERT(play(35, 3, {1.0, 2}, {}) >= 9); }
+  void three_models_on_thirty_five_replicas() {
+    CPPUNIT_ASSERT(simulate(35, 3, {1.0, 2}, {}) >= 9);
+  }
 
-  /// Why the replicas are divided: found on the grown deployment.
+  /// Without assignment, each replica loads every model's versions and too few are current.
   void replicas_that_follow_every_model_fall_behind() {
     AssignmentSettings everything;
     everything.models_per_replica = 3;
     LoadPlanSettings two_at_once;
-    two_at_once.share_at_once = 2.0 / 35;
-    CPPUNIT_ASSERT(play(35, 3, everything, two_at_once) <= 6);
+    two_at_once.max_loading_share = 2.0 / 35;
+    CPPUNIT_ASSERT(simulate(35, 3, everything, two_at_once) <= 6);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(KeepUpTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LoadSimulationTest);
 
 }  // namespace stoneport::weights
--- a/tests/unit/weights/replica_assignment_test.cpp
+++ b/tests/unit/weights/replica_assignment_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which replicas follow which model, over changes of demand and of replicas.
+/// Tests which replicas follow which model as demand and replicas change.
 #include "weights/replica_assignment.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,13 +19,13 @@
   CPPUNIT_TEST(a_replica_may_follow_several_models);
   CPPUNIT_TEST(the_same_needs_move_nothing);
   CPPUNIT_TEST(small_changes_of_demand_move_nothing);
-  CPPUNIT_TEST(a_lost_replica_is_made_up_for);
-  CPPUNIT_TEST(added_replicas_are_shared_out);
-  CPPUNIT_TEST(those_that_have_the_version_are_taken_first);
-  CPPUNIT_TEST(thousands_of_replicas_are_shared_out_evenly);
-  CPPUNIT_TEST(no_model_is_followed_by_more_replicas_than_its_texts_can_use);
+  CPPUNIT_TEST(a_lost_replica_is_replaced);
+  CPPUNIT_TEST(added_replicas_are_distributed);
+  CPPUNIT_TEST(replicas_with_the_newest_version_are_preferred);
+  CPPUNIT_TEST(thousands_of_replicas_are_distributed_evenly);
+  CPPUNIT_TEST(followers_are_limited_by_concurrency);
   CPPUNIT_TEST(the_first_update_does_not_grow_with_the_square_of_the_fleet);
-  CPPUNIT_TEST(an_update_that_gives_nothing_away_ranks_nothing);
+  CPPUNIT_TEST(an_unchanged_update_ranks_nothing);
   CPPUNIT_TEST_SUITE_END();
 
   static ModelNeed need(const std::string& model, double demand, std::size_t first,
@@ -120,11 +120,11 @@
     assert_counts({18, 12, 6}, assignment);
   }
 
-  void a_lost_replica_is_made_up_for() {
+  void a_lost_replica_is_replaced() {
     ReplicaAssignment assignment(kOneModelEach);
     assignment.update(three(1, 1, 1, 9));
     std::vector<ModelNeed> needs = three(1, 1, 1, 9);
-    // All that follow the first model are lost.
+    // All followers of the first model are lost.
     for (ModelNeed& one : needs) {
       std::erase_if(one.replicas, [&](const ReplicaVersion& replica) {
         return assignment.follows(replica.id, core::ModelName("a"));
@@ -134,14 +134,14 @@
     assert_counts({2, 2, 2}, assignment);
   }
 
-  void added_replicas_are_shared_out() {
+  void added_replicas_are_distributed() {
     ReplicaAssignment assignment(kOneModelEach);
     assignment.update(three(1, 1, 1, 9));
     assignment.update(three(1, 1, 1, 15));
     assert_counts({5, 5, 5}, assignment);
   }
 
-  void thousands_of_replicas_are_shared_out_evenly() {
+  void thousands_of_replicas_are_distributed_evenly() {
     constexpr std::size_t kReplicas = 3000;
     ReplicaAssignment assignment;
     const std::vector<ModelNeed> needs = three(1, 1, 2, kReplicas);
@@ -152,26 +152,26 @@
     CPPUNIT_ASSERT(before == pairs(assignment, needs));
   }
 
-  void no_model_is_followed_by_more_replicas_than_its_texts_can_use() {
+  void followers_are_limited_by_concurrency() {
     AssignmentSettings settings = kOneModelEach;
-    settings.places_per_text = 4;
+    settings.slots_per_generation = 4;
     ReplicaAssignment assignment(settings);
     std::vector<ModelNeed> needs = three(1, 1, 1, 300);
     assignment.update(needs);
     assert_counts({100, 100, 100}, assignment);
-    // Once its jobs tell: 60 texts in six places a replica have use for 40 replicas.
-    needs[0].texts = 60;
+    // 60 generations on replicas with six slots can use 40 replicas.
+    needs[0].peak_concurrency = 60;
     needs[0].slots = 6;
     assignment.update(needs);
     assert_counts({40, 100, 100}, assignment);
-    // With fewer than four places a text on all replicas nothing is bounded.
-    needs[0].texts = 600;
+    // There is no limit with fewer than four slots per generation over all replicas.
+    needs[0].peak_concurrency = 600;
     assignment.update(needs);
     assert_counts({100, 100, 100}, assignment);
   }
 
-  void those_that_have_the_version_are_taken_first() {
-    // A new holder finds the replicas as the former one left them.
+  void replicas_with_the_newest_version_are_preferred() {
+    // A new holder takes over replicas in the state that the former one left.
     std::vector<ModelNeed> needs = three(1, 1, 1, 6);
     const auto advance = [&](std::size_t model, std::size_t replica) {
       needs[model].replicas[replica].version = core::WeightVersion(4);
@@ -193,16 +193,16 @@
     assignment.update(three(1, 1, 1, replicas));
     return assignment.ranked();
   }
-  /// A term begins without followers, and as long as no texts are known each model may be given
-  /// half of all replicas. Looking through all replicas for each was 16 times the work for four
-  /// times the replicas.
+  /// A term begins without followers, and while concurrency is unknown each model may be given
+  /// half of all replicas. Scanning all replicas for each assignment took 16 times the work for
+  /// four times the replicas.
   void the_first_update_does_not_grow_with_the_square_of_the_fleet() {
     const auto small = static_cast<double>(ranked_in_first_update(250));
     const auto large = static_cast<double>(ranked_in_first_update(1000));
     CPPUNIT_ASSERT_MESSAGE(std::to_string(large / small), large <= 5 * small);
   }
 
-  void an_update_that_gives_nothing_away_ranks_nothing() {
+  void an_unchanged_update_ranks_nothing() {
     ReplicaAssignment assignment;
     const std::vector<ModelNeed> needs = three(1, 1, 1, 250);
     assignment.update(needs);
