--- a/src/eligibility/cold_pace.cpp
+++ b/src/eligibility/cold_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "eligibility/cold_pace.hpp"
+#include "eligibility/cold_rate_limiter.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -8,28 +8,29 @@
 namespace stoneport::eligibility {
 namespace {
 
-/// The platform counts over any second; the rest is for what passes between the note here and
-/// the socket.
+/// The platform counts over any interval of one second; the rest allows for the delay between the
+/// accounting here and the socket.
 constexpr core::Duration kWindow = std::chrono::milliseconds(1050);
-/// Differing views of who lives (a cut zone, a member that has just died) for which the shares
-/// of front ends add up to no more than the bound.
-constexpr double kViews = 3;
-/// Of what a cold replica bears, where clients' requests and the coordinator's both go there.
+/// Number of differing membership views (due to a partitioned zone or a member that has just died)
+/// for which the shares of all front ends together remain within the bound.
+constexpr double kMaxMembershipViews = 3;
+/// Share of a cold replica's capacity for the coordinator if both clients' requests and the
+/// coordinator's are sent there.
 constexpr double kCoordinatorShare = 0.5;
-/// Of the bound: for front ends, over all views.
+/// Share of the bound for front ends, over all membership views.
 constexpr double kFrontEndShare = 1.0 / 3;
-/// Of what the coordinator may send in a second: the most while it is not sure of its term, as
-/// another process may coordinate at the same time. Nearly half, as the busiest seconds are
-/// those after the term changed hands.
-constexpr double kUnsureShare = 0.475;
-/// How much slower the coordinator sends to cold replicas while it is not sure of its term.
-constexpr int kUnsureSpacing = 2;
-/// For this long a process that has started, and may not yet know the others, sends nothing to
-/// cold replicas for clients; its former life may have, just before.
+/// Share of the coordinator's rate that it may use while its term is unconfirmed, as another
+/// process may be coordinating too. Nearly half, because load is highest in the seconds after the
+/// term has changed hands.
+constexpr double kUnconfirmedShare = 0.475;
+/// Factor on the coordinator's request spacing to cold replicas while its term is unconfirmed.
+constexpr int kUnconfirmedSpacingFactor = 2;
+/// How long a process that has started, and may not know the other members yet, sends no clients'
+/// requests to cold replicas; its previous incarnation may have sent some just before.
 constexpr core::Duration kFrontEndSettling = std::chrono::seconds(2);
 
-/// \return the most requests in a second that are at least \p spacing apart.
-double most_in_a_second(core::Duration spacing) {
+/// \return the maximum number of requests within a second if they are at least \p spacing apart.
+double max_per_second(core::Duration spacing) {
   return std::floor(1 / core::to_seconds(spacing)) + 1;
 }
 
@@ -47,17 +48,18 @@
   }
   const double coordinator_rate = start.takes_clients ? rate * kCoordinatorShare : rate;
   budget.coordinator_spacing = core::from_seconds(1 / coordinator_rate);
-  const double cold_most = most_in_a_second(budget.coordinator_spacing);
-  budget.cold_most = at_least_one(cold_most);
+  const double coordinator_max_cold = max_per_second(budget.coordinator_spacing);
+  budget.coordinator_max_cold = at_least_one(coordinator_max_cold);
   double left = std::floor(rate * bound.overage + bound.slack);
   if (start.takes_clients) {
-    const double front_ends = std::min(rate - coordinator_rate, left * kFrontEndShare / kViews);
+    const double front_ends =
+        std::min(rate - coordinator_rate, left * kFrontEndShare / kMaxMembershipViews);
     budget.front_end_senders = at_least_one(front_ends);
-    left -= static_cast<double>(budget.front_end_senders) * kViews;
+    left -= static_cast<double>(budget.front_end_senders) * kMaxMembershipViews;
   }
-  budget.coordinator_most_unsure = at_least_one(left * kUnsureShare);
-  budget.coordinator_most =
-      at_least_one(left - static_cast<double>(budget.coordinator_most_unsure));
+  budget.coordinator_max_unconfirmed = at_least_one(left * kUnconfirmedShare);
+  budget.coordinator_max =
+      at_least_one(left - static_cast<double>(budget.coordinator_max_unconfirmed));
   return budget;
 }
 
@@ -74,8 +76,8 @@
   return is_member && higher < count;
 }
 
-void ColdPace::replace_members(std::string self, std::vector<std::string> living,
-                               core::MonotonicTime now) {
+void ColdRateLimiter::replace_members(std::string self, std::vector<std::string> living,
+                                      core::MonotonicTime now) {
   if (!has_members_) {
     has_members_ = true;
     front_end_from_ = now + kFrontEndSettling;
@@ -91,31 +93,31 @@
   members_ = std::move(living);
 }
 
-/// Whoever was chosen before a change may have sent until then, so that a newly chosen process
-/// waits until that counts no more.
-bool ColdPace::is_chosen(const core::ReplicaId& replica, std::size_t count,
-                         core::MonotonicTime now) const {
+/// Senders chosen before a membership change may have sent until then, so that a newly chosen
+/// process waits until those requests no longer count.
+bool ColdRateLimiter::is_chosen(const core::ReplicaId& replica, std::size_t count,
+                                core::MonotonicTime now) const {
   const bool has_settled = now >= members_changed_at_ + kWindow;
   return is_chosen_sender(self_, members_, replica, count) &&
          (has_settled || is_chosen_sender(self_, settled_members_, replica, count));
 }
 
-void ColdPace::begin_term(core::MonotonicTime settled_at) {
+void ColdRateLimiter::begin_term(core::MonotonicTime settled_at) {
   settled_at_ = settled_at;
-  sure_until_ = core::MonotonicTime();
+  term_confirmed_until_ = core::MonotonicTime();
 }
 
-void ColdPace::presume_cold(const core::ReplicaId& replica, core::MonotonicTime until) {
+void ColdRateLimiter::presume_cold(const core::ReplicaId& replica, core::MonotonicTime until) {
   core::MonotonicTime& known = presumed_[replica];
   known = std::max(known, until);
 }
 
-ColdStart ColdPace::start_of(const core::ServiceName& service) const {
+ColdStart ColdRateLimiter::start_of(const core::ServiceName& service) const {
   const auto found = limits_.find(service);
   return found == limits_.end() ? ColdStart() : found->second;
 }
 
-bool ColdPace::is_cold(const PacedReplica& replica, core::MonotonicTime now) const {
+bool ColdRateLimiter::is_cold(const RateLimitedReplica& replica, core::MonotonicTime now) const {
   if (now < replica.cold_until) {
     return true;
   }
@@ -123,7 +125,8 @@
   return presumed != presumed_.end() && now < presumed->second;
 }
 
-bool ColdPace::may_send(const PacedReplica& replica, Sender sender, core::MonotonicTime now) const {
+bool ColdRateLimiter::may_send(const RateLimitedReplica& replica, Sender sender,
+                               core::MonotonicTime now) const {
   const ColdStart start = start_of(replica.service);
   if (start.requests_per_second <= 0) {
     return true;
@@ -133,8 +136,9 @@
                                         : front_end_may_send(replica, budget, now);
 }
 
-bool ColdPace::coordinator_may_send(const PacedReplica& replica, const ColdBudget& budget,
-                                    core::MonotonicTime now) const {
+bool ColdRateLimiter::coordinator_may_send(const RateLimitedReplica& replica,
+                                           const ColdBudget& budget,
+                                           core::MonotonicTime now) const {
   const auto found = sent_.find(replica.id);
   if (found == sent_.end() || found->second.empty()) {
     return true;
@@ -142,20 +146,21 @@
   const std::deque<core::MonotonicTime>& sent = found->second;
   const auto in_window = static_cast<std::size_t>(std::count_if(
       sent.begin(), sent.end(), [now](core::MonotonicTime at) { return now - at < kWindow; }));
-  const bool sure = is_sure(now);
-  const std::size_t most = sure ? budget.coordinator_most : budget.coordinator_most_unsure;
+  const bool sure = is_term_confirmed(now);
+  const std::size_t most = sure ? budget.coordinator_max : budget.coordinator_max_unconfirmed;
   if (in_window >= most) {
     return false;
   }
   if (!is_cold(replica, now)) {
     return true;
   }
-  const core::Duration spacing = budget.coordinator_spacing * (sure ? 1 : kUnsureSpacing);
-  return in_window < budget.cold_most && now - sent.back() >= spacing;
+  const core::Duration spacing =
+      budget.coordinator_spacing * (sure ? 1 : kUnconfirmedSpacingFactor);
+  return in_window < budget.coordinator_max_cold && now - sent.back() >= spacing;
 }
 
-bool ColdPace::front_end_may_send(const PacedReplica& replica, const ColdBudget& budget,
-                                  core::MonotonicTime now) const {
+bool ColdRateLimiter::front_end_may_send(const RateLimitedReplica& replica,
+                                         const ColdBudget& budget, core::MonotonicTime now) const {
   if (!is_cold(replica, now)) {
     return true;
   }
@@ -169,7 +174,8 @@
   return is_chosen(replica.id, budget.front_end_senders, now);
 }
 
-void ColdPace::note_sent(const PacedReplica& replica, Sender sender, core::MonotonicTime now) {
+void ColdRateLimiter::note_sent(const RateLimitedReplica& replica, Sender sender,
+                                core::MonotonicTime now) {
   if (start_of(replica.service).requests_per_second <= 0) {
     return;
   }
@@ -184,7 +190,7 @@
   sent.push_back(now);
 }
 
-void ColdPace::forget(const core::ReplicaId& replica) {
+void ColdRateLimiter::forget(const core::ReplicaId& replica) {
   sent_.erase(replica);
   front_end_sent_.erase(replica);
   presumed_.erase(replica);
--- a/src/eligibility/evacuations.cpp
+++ b/src/eligibility/evacuations.cpp
@@ -4,7 +4,7 @@
 
 namespace stoneport::eligibility {
 
-bool Evacuations::take_listing(ListedEvacuations listed, core::Revision as_of) {
+bool Evacuations::apply_listing(ListedEvacuations listed, core::Revision as_of) {
   if (as_of < listed_as_of_) {
     return false;
   }
@@ -21,8 +21,8 @@
   return refresh();
 }
 
-bool Evacuations::take_notice(const ZoneNotice& notice) {
-  const auto [known, is_new] = heard_.try_emplace(notice.zone, notice);
+bool Evacuations::apply_notice(const ZoneNotice& notice) {
+  const auto [known, is_new] = remote_notices_.try_emplace(notice.zone, notice);
   if (!is_new && notice.revision <= known->second.revision) {
     return false;
   }
@@ -35,9 +35,9 @@
   for (const auto& [zone, revision] : listed_) {
     zones.insert(zone);
   }
-  for (const auto& [zone, notice] : heard_) {
+  for (const auto& [zone, notice] : remote_notices_) {
     if (notice.revision <= listed_as_of_) {
-      continue;  // the listing knows better
+      continue;  // the listing is more recent
     }
     if (notice.evacuated) {
       zones.insert(zone);
--- a/src/eligibility/evacuations.hpp
+++ b/src/eligibility/evacuations.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// The zones that the operator has evacuated: nothing is sent to replicas there until that is
-/// taken back. Known from the store, and from other processes where the store is not heard; of
-/// two words about one zone, that of the store's later revision holds. Plain code; belongs to
-/// one thread. docs/design/evacuation.md
+/// Zones that the operator has evacuated: nothing is sent to replicas there until the operator
+/// reopens them. Known from the store and, if the store is unreachable, from other processes; of
+/// two statements about a zone, the one with the later store revision applies. Not thread-safe.
+/// docs/design/evacuation.md
 #pragma once
 
 #include <map>
@@ -13,28 +13,29 @@
 
 namespace stoneport::eligibility {
 
-/// What one process tells others about one zone.
+/// State of one zone as announced between processes.
 struct ZoneNotice {
   core::ZoneName zone;
-  core::Revision revision;  ///< of the store, as of which it holds
+  core::Revision revision;  ///< store revision as of which the state applies
   bool evacuated = false;
 
   bool operator==(const ZoneNotice&) const = default;
 };
 
-/// The zones that the store lists as evacuated, each with the revision of its row.
+/// Zones that the store lists as evacuated, with the revisions of their rows.
 using ListedEvacuations = std::map<core::ZoneName, core::Revision>;
 
 class Evacuations {
  public:
-  /// Takes in what the store lists as of \p as_of; a zone that it does not list is open. An older
-  /// listing than the last one is dropped.
-  /// \return whether other zones than before are evacuated now.
-  bool take_listing(ListedEvacuations listed, core::Revision as_of);
-  /// Takes in what another process tells. \return the same.
-  bool take_notice(const ZoneNotice& notice);
-  /// \return what the last listing says about the zones that are or were evacuated, to be told to
-  /// other processes.
+  /// Applies the store's listing as of \p as_of; zones that are not listed are open. A listing
+  /// older than the last one is ignored.
+  /// \return whether the set of evacuated zones has changed.
+  bool apply_listing(ListedEvacuations listed, core::Revision as_of);
+  /// Applies an announcement of another process. \return whether the set of evacuated zones has
+  /// changed.
+  bool apply_notice(const ZoneNotice& notice);
+  /// \return the state of all zones that are or were evacuated according to the last listing, for
+  /// announcement to other processes.
   const std::map<core::ZoneName, ZoneNotice>& notices() const { return own_notices_; }
 
   bool contains(const core::ZoneName& zone) const { return zones_.contains(zone); }
@@ -46,8 +47,9 @@
   ListedEvacuations listed_;
   core::Revision listed_as_of_;
   std::map<core::ZoneName, ZoneNotice> own_notices_;
-  std::map<core::ZoneName, ZoneNotice> heard_;  ///< the latest of others, by zone
-  std::set<core::ZoneName> zones_;              ///< evacuated, all told
+  /// Latest notice of other processes by zone.
+  std::map<core::ZoneName, ZoneNotice> remote_notices_;
+  std::set<core::ZoneName> zones_;  ///< all evacuated zones, from both sources
 };
 
 }  // namespace stoneport::eligibility
--- a/src/eligibility/replica_reservations.hpp
+++ b/src/eligibility/replica_reservations.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Replicas that are kept for one request, which must run beside no other. Known from this
-/// process and from others. Plain code; belongs to one thread.
+/// Replicas reserved for one request that must run without others, by this or another process. Not
+/// thread-safe.
 #pragma once
 
 #include <unordered_map>
--- a/src/eligibility/send_gate.cpp
+++ b/src/eligibility/send_gate.cpp
@@ -3,51 +3,52 @@
 namespace stoneport::eligibility {
 namespace {
 
-PacedReplica paced(const Destination& destination) {
+RateLimitedReplica paced(const Destination& destination) {
   return {destination.id, destination.service, destination.cold_until};
 }
 
 }  // namespace
 
-std::string_view to_string(Objection objection) {
-  switch (objection) {
-    case Objection::kEvacuatedZone:
+std::string_view to_string(BlockReason block_reason) {
+  switch (block_reason) {
+    case BlockReason::kEvacuatedZone:
       return "evacuated_zone";
-    case Objection::kOutsideRegions:
+    case BlockReason::kOutsideRegions:
       return "outside_regions";
-    case Objection::kColdPace:
+    case BlockReason::kColdRateLimit:
       return "cold_pace";
-    case Objection::kReserved:
+    case BlockReason::kReserved:
       return "reserved";
   }
   return "unknown";
 }
 
-std::optional<Objection> SendGate::objection(const Destination& destination, const Origin& origin,
-                                             core::MonotonicTime now) const {
+std::optional<BlockReason> SendGate::block_reason(const Destination& destination,
+                                                  const Origin& origin,
+                                                  core::MonotonicTime now) const {
   if (!is_open(destination.zone)) {
-    return Objection::kEvacuatedZone;
+    return BlockReason::kEvacuatedZone;
   }
   const bool is_bound = origin.binding != nullptr && origin.binding->is_bound();
   if (is_bound && !origin.binding->allows(region_of(destination.zone))) {
-    return Objection::kOutsideRegions;
+    return BlockReason::kOutsideRegions;
   }
   if (!origin.may_use_reserved && reservations_.holds(destination.id, now)) {
-    return Objection::kReserved;
+    return BlockReason::kReserved;
   }
-  if (!cold_pace_.may_send(paced(destination), origin.sender, now)) {
-    return Objection::kColdPace;
+  if (!cold_rate_limiter_.may_send(paced(destination), origin.sender, now)) {
+    return BlockReason::kColdRateLimit;
   }
   return std::nullopt;
 }
 
 void SendGate::note_sent(const Destination& destination, const Origin& origin,
                          core::MonotonicTime now) {
-  cold_pace_.note_sent(paced(destination), origin.sender, now);
+  cold_rate_limiter_.note_sent(paced(destination), origin.sender, now);
 }
 
 bool SendGate::is_cold(const Destination& destination, core::MonotonicTime now) const {
-  return cold_pace_.is_cold(paced(destination), now);
+  return cold_rate_limiter_.is_cold(paced(destination), now);
 }
 
 core::RegionName SendGate::region_of(const core::ZoneName& zone) const {
--- a/src/ingress/call_race.cpp
+++ b/src/ingress/call_race.cpp
@@ -23,22 +23,23 @@
 
 asio::awaitable<void> CallRace::run(CallAttemptPointer attempt,
                                     asio::awaitable<ports::CallResult<ports::ReplicaAnswer>> call,
-                                    Look look, Timer ended) {
-  if (!attempt->is_cut) {
-    attempt->result = co_await runtime::run_cancellable(std::move(call), attempt->cut);
+                                    ReplicaCheck check, Timer ended) {
+  if (!attempt->is_cancelled) {
+    attempt->result = co_await runtime::run_cancellable(std::move(call), attempt->cancellation);
   }
-  if (!attempt->is_cut && attempt->is_broken()) {
-    attempt->replica_has_ended = co_await look();
+  if (!attempt->is_cancelled && attempt->is_broken()) {
+    attempt->replica_has_crashed = co_await check();
   }
   attempt->has_ended = true;
   ended->cancel();
 }
 
 void CallRace::begin(CallAttemptPointer attempt,
-                     asio::awaitable<ports::CallResult<ports::ReplicaAnswer>> call, Look look) {
+                     asio::awaitable<ports::CallResult<ports::ReplicaAnswer>> call,
+                     ReplicaCheck check) {
   calls_.push_back(attempt);
   runtime::start(ended_->get_executor(), "call to a replica",
-                 run(std::move(attempt), std::move(call), std::move(look), ended_));
+                 run(std::move(attempt), std::move(call), std::move(check), ended_));
 }
 
 asio::awaitable<void> CallRace::wait(core::Duration longest) {
@@ -69,17 +70,17 @@
   return ended;
 }
 
-void CallRace::cut_all() {
+void CallRace::cancel_all() {
   for (const CallAttemptPointer& attempt : calls_) {
-    attempt->is_cut = true;
+    attempt->is_cancelled = true;
     if (!attempt->result) {
-      attempt->cut.emit(asio::cancellation_type::terminal);
+      attempt->cancellation.emit(asio::cancellation_type::terminal);
     }
   }
   calls_.clear();
 }
 
-bool CallRace::looks_at_replica() const {
+bool CallRace::is_checking_replica() const {
   return std::any_of(calls_.begin(), calls_.end(), [](const CallAttemptPointer& attempt) {
     return !attempt->has_ended && attempt->is_broken();
   });
--- a/src/ingress/call_race.hpp
+++ b/src/ingress/call_race.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// The calls that one request has out at once. Owned by the request's coroutine, which waits for
-/// the first of them to end; each call shares nothing but its own attempt with it. Belongs to one
-/// thread.
+/// The concurrent calls of one request. Owned by the request's coroutine, which waits for the first
+/// call to finish; the coroutine and each call share only that call's attempt. Not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -26,18 +25,19 @@
   ReplicaPointer replica;
   InFlight in_flight;
   core::MonotonicTime sent_at;
-  bool is_second = false;  ///< sent beside one that was out
-  bool was_cold = false;   ///< the replica, when it was sent
+  bool is_second = false;  ///< sent while another call was outstanding
+  bool was_cold = false;   ///< whether the replica was cold when the call was sent
   std::optional<CrashGuard::Run> suspect_run = std::nullopt;
 
   bool has_ended = false;
-  bool is_cut = false;
-  boost::asio::cancellation_signal cut = {};
-  /// Set once the call has ended, unless it was cut.
+  bool is_cancelled = false;
+  boost::asio::cancellation_signal cancellation = {};
+  /// Set once the call has finished, unless it was cancelled.
   std::optional<ports::CallResult<ports::ReplicaAnswer>> result = std::nullopt;
-  bool replica_has_ended = false;  ///< found out after its connection broke
+  /// Whether the replica crashed, as found after its connection broke.
+  bool replica_has_crashed = false;
 
-  /// \return whether its replica may have run it until the connection broke.
+  /// \return whether the connection broke while the replica may have been running the call.
   bool is_broken() const;
 };
 using CallAttemptPointer = std::shared_ptr<CallAttempt>;
@@ -45,30 +45,33 @@
 class CallRace {
  public:
   explicit CallRace(const boost::asio::any_io_executor& executor);
-  /// Cuts all calls that are out.
-  ~CallRace() { cut_all(); }
+  /// Cancels all outstanding calls.
+  ~CallRace() { cancel_all(); }
   CallRace(const CallRace&) = delete;
   CallRace& operator=(const CallRace&) = delete;
 
-  /// Finds out whether the replica of a broken call has ended.
-  using Look = std::function<boost::asio::awaitable<bool>()>;
+  /// Checks whether the replica of a call with a broken connection has crashed.
+  using ReplicaCheck = std::function<boost::asio::awaitable<bool>()>;
 
   /// Starts \p call as \p attempt.
-  /// \param look called when the call is broken, and only while the race lives; the call counts as
-  /// out until the look is over, which goes on when the other calls are cut
+  /// \param check runs when the call's connection breaks, and only while the race exists; the call
+  /// counts as outstanding until the check is complete, and the check continues when the other
+  /// calls are cancelled
   void begin(CallAttemptPointer attempt,
-             boost::asio::awaitable<ports::CallResult<ports::ReplicaAnswer>> call, Look look);
-  /// Returns when a call has ended, at the latest after \p longest or when the caller is cut.
+             boost::asio::awaitable<ports::CallResult<ports::ReplicaAnswer>> call,
+             ReplicaCheck check);
+  /// Waits until a call has finished, \p longest has passed or the caller is cancelled.
   boost::asio::awaitable<void> wait(core::Duration longest);
-  /// \return a call that has ended, which is out no more, or null; answered ones come first.
+  /// \return a finished call, removed from the outstanding ones, or null; answered calls come
+  /// first.
   CallAttemptPointer take_ended();
-  /// Ends the calls that are out; their connections close.
-  void cut_all();
+  /// Cancels the outstanding calls and closes their connections.
+  void cancel_all();
 
-  /// \return the calls that are out, in the order of their beginning.
+  /// \return the outstanding calls in the order in which they started.
   const std::list<CallAttemptPointer>& calls() const { return calls_; }
-  /// \return whether it is being found out if the replica of a broken call has ended.
-  bool looks_at_replica() const;
+  /// \return whether a check for a crashed replica is running.
+  bool is_checking_replica() const;
   bool has_call_at(const ReplicaState& replica) const;
   bool has_call_in(const core::ZoneName& zone) const;
 
@@ -76,10 +79,11 @@
   using Timer = std::shared_ptr<boost::asio::steady_timer>;
   static boost::asio::awaitable<void> run(
       CallAttemptPointer attempt,
-      boost::asio::awaitable<ports::CallResult<ports::ReplicaAnswer>> call, Look look, Timer ended);
+      boost::asio::awaitable<ports::CallResult<ports::ReplicaAnswer>> call, ReplicaCheck check,
+      Timer ended);
 
   std::list<CallAttemptPointer> calls_;
-  Timer ended_;  ///< cancelled when a call ends
+  Timer ended_;  ///< cancelled when a call finishes
 };
 
 }  // namespace stoneport::ingress
--- a/src/ingress/cold_census.cpp
+++ b/src/ingress/cold_replica_monitor.cpp
@@ -1,4 +1,4 @@
-#include "ingress/cold_census.hpp"
+#include "ingress/cold_replica_monitor.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -22,11 +22,11 @@
 
 }  // namespace
 
-ColdCensus::ColdCensus(core::Metrics& metrics)
+ColdReplicaMonitor::ColdReplicaMonitor(core::Metrics& metrics)
     : gauge_(metrics.gauge("stoneport_cold_replicas",
-                           "Listed replicas that are cold, for all that this process knows")) {}
+                           "Listed replicas known to this process to be cold")) {}
 
-void ColdCensus::look(ReplicaDirectory& directory, core::MonotonicTime now) {
+void ColdReplicaMonitor::update(ReplicaDirectory& directory, core::MonotonicTime now) {
   Ids cold = directory.cold_replicas(now);
   gauge_.Set(static_cast<double>(cold.size()));
   if (cold == cold_) {
--- a/src/ingress/crash_guard.cpp
+++ b/src/ingress/crash_guard.cpp
@@ -32,16 +32,18 @@
 struct CrashGuard::Meters {
   explicit Meters(core::Metrics& metrics)
       : ends(metrics.counter("stoneport_crash_suspect_ends_total",
-                             "Ends of replicas noted here against the requests that they ran")),
-        cleared(metrics.counter("stoneport_crash_suspects_cleared_total",
-                                "Suspects that a replica served whole, or that were let go")),
+                             "Replica crashes recorded against the requests that were running")),
+        cleared(metrics.counter(
+            "stoneport_crash_suspects_cleared_total",
+            "Suspects cleared because a replica served them completely or an operator "
+            "released them")),
         held(metrics.counter("stoneport_crash_suspect_held_back_total",
-                             "Times that a request got no replica because three or more had "
-                             "ended under it")),
+                             "Requests refused a replica because three or more had crashed while "
+                             "running them")),
         suspects(metrics.gauge("stoneport_crash_suspects",
-                               "Requests under which replicas ended, as this process knows")),
+                               "Requests known to this process during which replicas crashed")),
         held_back(metrics.gauge("stoneport_crash_suspects_held",
-                                "Requests that run no more, as this process knows")) {}
+                                "Requests known to this process that are held back")) {}
   prometheus::Counter& ends;
   prometheus::Counter& cleared;
   prometheus::Counter& held;
@@ -79,54 +81,58 @@
   return static_cast<std::size_t>(std::count_if(replicas.begin(), replicas.end(), is_healthy));
 }
 
-bool CrashGuard::may_risk_one(const core::ServiceName& service) {
+bool CrashGuard::may_risk_replica(const core::ServiceName& service) {
   const core::MonotonicTime now = time_.now();
   if (healthy_count(service) > 1) {
-    nearly_gone_since_.erase(service);
+    at_most_one_healthy_since_.erase(service);
     return true;
   }
-  const core::MonotonicTime since = nearly_gone_since_.try_emplace(service, now).first->second;
-  return now - since >= settings_.last_replica_patience;
+  const core::MonotonicTime since =
+      at_most_one_healthy_since_.try_emplace(service, now).first->second;
+  return now - since >= settings_.sole_replica_delay;
 }
 
 void CrashGuard::on_listing_changed() {
-  std::erase_if(nearly_gone_since_,
+  std::erase_if(at_most_one_healthy_since_,
                 [this](const auto& entry) { return healthy_count(entry.first) > 1; });
 }
 
-/// What everybody asks for is at most ends. One that was served before is trusted after a single
-/// end, and after more where another request was there too.
-quarantine::Terms CrashGuard::terms_of(const core::RequestFingerprint& content) const {
+/// A popular request is often running when a replica crashes. A request that was served before is
+/// trusted after one crash, and after several as long as another request was present at each.
+quarantine::RunRestriction CrashGuard::restriction_of(
+    const core::RequestFingerprint& content) const {
   const bool was_served = served_.contains(content);
-  const quarantine::Terms terms = suspects_.terms_of(content, was_served);
-  const bool is_trusted = was_served && terms == quarantine::Terms::kSpareLast;
-  return is_trusted ? quarantine::Terms::kFree : terms;
+  const quarantine::RunRestriction restriction = suspects_.restriction_of(content, was_served);
+  const bool is_trusted =
+      was_served && restriction == quarantine::RunRestriction::kNotOnLastReplica;
+  return is_trusted ? quarantine::RunRestriction::kFree : restriction;
 }
 
-std::vector<ReplicaPointer> CrashGuard::risked_of(const Route& route,
-                                                  const std::vector<ReplicaPointer>& usable) {
+std::vector<ReplicaPointer> CrashGuard::replicas_for_suspects(
+    const Route& route, const std::vector<ReplicaPointer>& usable) {
   std::set<core::ServiceName> services;
   for (const RouteTarget& target : route.targets) {
-    if (may_risk_one(target.service)) {
+    if (may_risk_replica(target.service)) {
       services.insert(target.service);
     }
   }
-  std::vector<ReplicaPointer> risked = usable;
-  std::erase_if(risked, [&](const ReplicaPointer& replica) {
+  std::vector<ReplicaPointer> allowed = usable;
+  std::erase_if(allowed, [&](const ReplicaPointer& replica) {
     return replica->has_ended() || !services.contains(replica->record.service);
   });
-  return risked;
+  return allowed;
 }
 
 Admission CrashGuard::admit(const core::RequestFingerprint& content, const Route& route,
-                            const std::vector<ReplicaPointer>& usable, Spread spread) {
+                            const std::vector<ReplicaPointer>& usable,
+                            SuspectSeparation separation) {
   Admission admission;
-  const quarantine::Terms terms = terms_of(content);
-  if (terms == quarantine::Terms::kFree) {
+  const quarantine::RunRestriction restriction = restriction_of(content);
+  if (restriction == quarantine::RunRestriction::kFree) {
     return admission;
   }
   suspects_.note_seen(content, time_.now());
-  if (terms == quarantine::Terms::kHeld) {
+  if (restriction == quarantine::RunRestriction::kHeld) {
     meters_->held.Increment();
     admission.kind = AdmissionKind::kHeld;
     return admission;
@@ -135,19 +141,19 @@
   if (runs_.runs_somewhere(content)) {
     return admission;
   }
-  std::vector<ReplicaPointer> risked = risked_of(route, usable);
-  admission.is_alone = terms == quarantine::Terms::kAlone;
-  if (admission.is_alone || spread == Spread::kApart) {
-    const ReplicaPointer kept = runs_.keep(content, risked, admission.is_alone);
-    risked = kept ? std::vector<ReplicaPointer>{kept} : std::vector<ReplicaPointer>();
+  std::vector<ReplicaPointer> allowed = replicas_for_suspects(route, usable);
+  admission.is_alone = restriction == quarantine::RunRestriction::kAlone;
+  if (admission.is_alone || separation == SuspectSeparation::kApart) {
+    const ReplicaPointer reserved = runs_.try_reserve(content, allowed, admission.is_alone);
+    allowed = reserved ? std::vector<ReplicaPointer>{reserved} : std::vector<ReplicaPointer>();
   } else {
-    std::erase_if(risked, [this](const ReplicaPointer& replica) {
+    std::erase_if(allowed, [this](const ReplicaPointer& replica) {
       return directory_.gate().reservations().holds(replica->record.id, time_.now());
     });
   }
-  if (!risked.empty()) {
+  if (!allowed.empty()) {
     admission.kind = AdmissionKind::kRun;
-    admission.allowed = std::move(risked);
+    admission.allowed = std::move(allowed);
   }
   return admission;
 }
@@ -166,9 +172,10 @@
   return std::optional<Run>(std::in_place, *this, run);
 }
 
-asio::awaitable<bool> CrashGuard::settle_broken(core::RequestFingerprint content,
-                                                std::string request_id, ReplicaPointer replica) {
-  // A replica that has said that it leaves, or is listed no more, may end at any time.
+asio::awaitable<bool> CrashGuard::resolve_broken_call(core::RequestFingerprint content,
+                                                      std::string request_id,
+                                                      ReplicaPointer replica) {
+  // A replica that is draining or no longer listed may terminate at any time.
   if (!replica->accepts_work()) {
     co_return false;
   }
@@ -177,8 +184,8 @@
     const bool has_ended = co_await client_.refuses_connections(std::move(target));
     if (!has_ended) {
       const asio::any_io_executor executor = co_await asio::this_coro::executor;
-      runtime::start(executor, "second look at a replica",
-                     look_again(content, std::move(request_id), replica));
+      runtime::start(executor, "recheck of a replica",
+                     recheck(content, std::move(request_id), replica));
       co_return false;
     }
   }
@@ -186,10 +193,10 @@
   co_return true;
 }
 
-asio::awaitable<void> CrashGuard::look_again(core::RequestFingerprint content,
-                                             std::string request_id, ReplicaPointer replica) {
+asio::awaitable<void> CrashGuard::recheck(core::RequestFingerprint content, std::string request_id,
+                                          ReplicaPointer replica) {
   const core::MonotonicTime broke_at = time_.now();
-  co_await runtime::sleep_for(settings_.second_look);
+  co_await runtime::sleep_for(settings_.recheck_delay);
   const bool answers = replica->last_answer > broke_at;
   if (answers || !replica->accepts_work()) {
     co_return;
@@ -217,8 +224,8 @@
                       {"replica", replica->record.id.value()},
                       {"service", replica->record.service.value()},
                       {"ended", suspect.ended.size()},
-                      {"terms", to_string(suspects_.terms_of(content))}});
-  if (suspects_.terms_of(content) == quarantine::Terms::kHeld) {
+                      {"terms", to_string(suspects_.restriction_of(content))}});
+  if (suspects_.restriction_of(content) == quarantine::RunRestriction::kHeld) {
     log_held(suspect);
   }
   announce(content);
@@ -236,7 +243,7 @@
   announce(content);
 }
 
-bool CrashGuard::let_go(const core::RequestFingerprint& content) {
+bool CrashGuard::release_suspect(const core::RequestFingerprint& content) {
   if (!suspects_.clear(content, time_.now())) {
     return false;
   }
@@ -245,16 +252,16 @@
                      {{"content", content.value()}, {"reason", "let go by an operator"}});
   announce(content);
   for (const Listener& listener : listeners_) {
-    if (listener.on_let_go) {
-      listener.on_let_go(content);
+    if (listener.on_released) {
+      listener.on_released(content);
     }
   }
   return true;
 }
 
-void CrashGuard::hear(const quarantine::Suspect& suspect) {
+void CrashGuard::apply_remote_suspect(const quarantine::Suspect& suspect) {
   const core::MonotonicTime now = time_.now();
-  const quarantine::Terms before = suspects_.terms_of(suspect.content);
+  const quarantine::RunRestriction before = suspects_.restriction_of(suspect.content);
   if (!suspects_.merge(suspect, now)) {
     return;
   }
@@ -265,8 +272,8 @@
       replica->suspect(now, settings_.suspicion);
     }
   }
-  const quarantine::Terms after = suspects_.terms_of(suspect.content);
-  if (after != before && after == quarantine::Terms::kHeld) {
+  const quarantine::RunRestriction after = suspects_.restriction_of(suspect.content);
+  if (after != before && after == quarantine::RunRestriction::kHeld) {
     log_held(*suspects_.find(suspect.content));
   }
   update_gauges();
@@ -300,8 +307,9 @@
   std::size_t held = 0;
   for (const auto& [content, suspect] : suspects_.all()) {
     suspects += suspect.is_cleared() ? 0 : 1;
-    const bool may_be_held = suspect.ended.size() >= settings_.suspects.ends_before_held;
-    const bool is_held = may_be_held && suspects_.terms_of(content) == quarantine::Terms::kHeld;
+    const bool may_be_held = suspect.ended.size() >= settings_.suspects.crashes_before_held;
+    const bool is_held =
+        may_be_held && suspects_.restriction_of(content) == quarantine::RunRestriction::kHeld;
     held += is_held ? 1 : 0;
   }
   meters_->suspects.Set(static_cast<double>(suspects));
--- a/src/ingress/crash_guard.hpp
+++ b/src/ingress/crash_guard.hpp
@@ -1,8 +1,7 @@
 /// \file
-/// Keeps requests that crash the replicas that run them away from replicas. Every sender of this
-/// process asks it before a request goes out, and tells it how that ended; what it learns goes to
-/// the other processes through its listener. Belongs to one thread.
-/// docs/design/crashing-requests.md
+/// Limits which replicas may run requests that are suspected of crashing replicas. Every sender of
+/// this process asks for admission before it sends a request and reports the outcome; listeners
+/// forward the findings to other processes. Not thread-safe. docs/design/crashing-requests.md
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -25,28 +24,28 @@
 
 struct CrashGuardSettings {
   quarantine::SuspectSettings suspects;
-  /// After which a service with one healthy replica counts as a service of one, whose only replica
-  /// suspects may use: longer than replicas take to come back (1.2 to 3.7 s were measured).
-  core::Duration last_replica_patience = std::chrono::seconds(10);
+  /// Delay after which a service that still has only one healthy replica is treated as a service
+  /// with a single replica, which suspects may use. Longer than replicas take to restart (1.2 to
+  /// 3.7 s).
+  core::Duration sole_replica_delay = std::chrono::seconds(10);
   SuspectRunSettings runs;
-  /// A replica that accepted a connection right after it broke others is looked at again: its
-  /// listener may close a moment later than they do.
-  core::Duration second_look = std::chrono::milliseconds(60);
-  /// How long a replica that ended gets no work while others can.
+  /// Delay before a replica is checked again that still accepted a connection right after it broke
+  /// others: its listening socket may close a moment later than its connections.
+  core::Duration recheck_delay = std::chrono::milliseconds(60);
+  /// How long a crashed replica gets no work while other replicas can take it.
   core::Duration suspicion = std::chrono::seconds(2);
 };
 
 enum class AdmissionKind {
-  kFree,  ///< it is under no suspicion
-  kRun,   ///< on one of the allowed replicas
-  kWait,  ///< not now
-  kHeld,  ///< not at all
+  kFree,  ///< not under suspicion
+  kRun,   ///< may run on one of the allowed replicas
+  kWait,  ///< must wait and ask again
+  kHeld,  ///< must not run at all
 };
-/// Whether a request that has been at one end keeps apart from others of which that is true. Else
-/// an innocent one could be at the next end too, beside the culprit, and would have to wait until
-/// it can run alone. Texts do not keep apart: they take seconds, and nothing is refused while they
-/// wait.
-enum class Spread { kApart, kTogether };
+/// Whether suspects of the same crash must run on different replicas. Otherwise an innocent request
+/// could run beside the culprit at the next crash too, and would then have to wait until it can run
+/// alone. Texts need no separation: they take seconds, and they are never refused while they wait.
+enum class SuspectSeparation { kApart, kTogether };
 
 struct Admission {
   AdmissionKind kind = AdmissionKind::kFree;
@@ -56,14 +55,15 @@
 
 class CrashGuard {
  public:
-  /// Told of what this process learns by itself; what it hears from others is not repeated.
+  /// Callbacks for what this process observed itself; updates received from other processes are not
+  /// reported.
   struct Listener {
     std::function<void(const quarantine::Suspect&)> on_suspect = {};
-    std::function<void(const core::RequestFingerprint&)> on_let_go = {};
-    /// A run or a reservation of this process began, or is over.
+    std::function<void(const core::RequestFingerprint&)> on_released = {};
+    /// A run or reservation of this process started or finished.
     std::function<void(const SuspectRun&, bool is_over)> on_run = {};
   };
-  /// Marks a suspect as running, and its replica as reserved where it runs alone.
+  /// Marks a suspect as running, and its replica as reserved if it runs alone.
   class Run {
    public:
     Run(CrashGuard& guard, SuspectRun run) : guard_(&guard), run_(std::move(run)) {}
@@ -83,67 +83,71 @@
     SuspectRun run_;
   };
 
-  /// All outlive the guard.
+  /// All references must outlive the guard.
   CrashGuard(ReplicaDirectory& directory, ports::ReplicaClient& client,
              const core::TimeSource& time, core::Metrics& metrics,
              CrashGuardSettings settings = {});
   ~CrashGuard();
 
   void add_listener(Listener listener) { listeners_.push_back(std::move(listener)); }
-  /// \param self breaks ties between processes that reserve replicas of one service at once
+  /// \param self decides ties between processes that reserve replicas of one service at the same
+  /// time
   void set_self(core::NodeId self) { runs_.set_self(std::move(self)); }
 
-  /// \return whether anything is under suspicion; otherwise every admission is free.
+  /// \return whether any request is under suspicion; otherwise every admission is free.
   bool has_suspects() const { return !suspects_.empty(); }
-  /// \return whether \p content may run on terms only, or not at all.
+  /// \return whether \p content is restricted in where it may run, or must not run at all.
   bool is_suspect(const core::RequestFingerprint& content) const {
-    return terms_of(content) != quarantine::Terms::kFree;
+    return restriction_of(content) != quarantine::RunRestriction::kFree;
   }
-  /// \return what \p content, which \p route sends to one of \p usable, may do now. Asked again
-  /// and again while it waits, which keeps a reservation.
+  /// \return whether \p content, which \p route sends to one of \p usable, may run now and where. A
+  /// waiting sender calls this repeatedly, which renews its reservation.
   Admission admit(const core::RequestFingerprint& content, const Route& route,
-                  const std::vector<ReplicaPointer>& usable, Spread spread = Spread::kApart);
-  /// Marks \p content as running on \p replica; nothing for an admission that is free.
+                  const std::vector<ReplicaPointer>& usable,
+                  SuspectSeparation separation = SuspectSeparation::kApart);
+  /// Marks \p content as running on \p replica; returns nothing for a free admission.
   std::optional<Run> begin(const core::RequestFingerprint& content, const ReplicaState& replica,
                            const Admission& admission);
-  /// The connection of a call broke that \p replica may have been running: finds out whether the
-  /// replica has ended, and remembers that of the request. \p request_id is for the log.
-  /// \return whether it has.
-  boost::asio::awaitable<bool> settle_broken(core::RequestFingerprint content,
-                                             std::string request_id, ReplicaPointer replica);
-  /// A replica served \p content whole.
+  /// Handles a call whose connection broke while \p replica may have been running it: checks
+  /// whether the replica has crashed, and if so records the crash for the request. \p request_id is
+  /// used in the log.
+  /// \return whether the replica has crashed.
+  boost::asio::awaitable<bool> resolve_broken_call(core::RequestFingerprint content,
+                                                   std::string request_id, ReplicaPointer replica);
+  /// Records that a replica served \p content completely.
   void note_served(const core::RequestFingerprint& content);
 
-  /// Takes in what another process tells.
-  void hear(const quarantine::Suspect& suspect);
-  void hear_run(const core::NodeId& holder, const SuspectRun& run, bool is_over) {
-    runs_.hear(holder, run, is_over);
+  /// Merges a suspect reported by another process.
+  void apply_remote_suspect(const quarantine::Suspect& suspect);
+  void apply_remote_run(const core::NodeId& holder, const SuspectRun& run, bool is_over) {
+    runs_.apply_remote_run(holder, run, is_over);
   }
-  /// The listing of replicas has changed.
+  /// Must be called when the list of replicas has changed.
   void on_listing_changed();
-  /// An operator lets \p content run again. \return whether it was under suspicion.
-  bool let_go(const core::RequestFingerprint& content);
+  /// Clears \p content on behalf of an operator. \return whether it was under suspicion.
+  bool release_suspect(const core::RequestFingerprint& content);
   const quarantine::CrashSuspects& suspects() const { return suspects_; }
-  /// \return how long a suspect that nobody sends is remembered.
+  /// \return how long a suspect is remembered that nobody sends again.
   core::Duration retention() const { return settings_.suspects.retention; }
-  /// \return the runs and reservations of this process, to be told again.
+  /// \return the runs and reservations of this process, for periodic announcement.
   std::vector<SuspectRun> own_runs() const { return runs_.own(); }
   void forget_old();
 
  private:
   struct Meters;
-  /// \return the terms as this process sees them: it may have seen \p content served before.
-  quarantine::Terms terms_of(const core::RequestFingerprint& content) const;
+  /// \return the restriction as this process sees it, which includes whether it has seen \p content
+  /// served.
+  quarantine::RunRestriction restriction_of(const core::RequestFingerprint& content) const;
   std::size_t healthy_count(const core::ServiceName& service) const;
-  /// \return whether suspects may go to a replica of \p service: another healthy one is left.
-  bool may_risk_one(const core::ServiceName& service);
-  /// \return the replicas of \p usable that suspects may go to.
-  std::vector<ReplicaPointer> risked_of(const Route& route,
-                                        const std::vector<ReplicaPointer>& usable);
+  /// \return whether suspects may use a replica of \p service because another healthy one remains.
+  bool may_risk_replica(const core::ServiceName& service);
+  /// \return the replicas of \p usable that suspects may use.
+  std::vector<ReplicaPointer> replicas_for_suspects(const Route& route,
+                                                    const std::vector<ReplicaPointer>& usable);
   void note_end(const core::RequestFingerprint& content, const std::string& request_id,
                 const ReplicaPointer& replica);
-  boost::asio::awaitable<void> look_again(core::RequestFingerprint content, std::string request_id,
-                                          ReplicaPointer replica);
+  boost::asio::awaitable<void> recheck(core::RequestFingerprint content, std::string request_id,
+                                       ReplicaPointer replica);
   void announce(const core::RequestFingerprint& content);
   void announce_run(const SuspectRun& run, bool is_over);
   void update_gauges();
@@ -157,8 +161,8 @@
   quarantine::CrashSuspects suspects_;
   quarantine::ServedContents served_;
   SuspectRuns runs_;
-  /// Since when a service has had one healthy replica or none.
-  std::map<core::ServiceName, core::MonotonicTime> nearly_gone_since_;
+  /// Time since which a service has had at most one healthy replica.
+  std::map<core::ServiceName, core::MonotonicTime> at_most_one_healthy_since_;
 };
 
 }  // namespace stoneport::ingress
--- a/src/ingress/forwarder.cpp
+++ b/src/ingress/forwarder.cpp
@@ -19,8 +19,8 @@
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 
-/// \return whether clients read \p status as "has not run and never will".
-bool is_promise(unsigned status) {
+/// \return whether clients interpret \p status as "has not run and never will".
+bool means_not_run(unsigned status) {
   return status == kRequestTimeout || status == kMisdirected || status == kTooManyRequests ||
          status == kUnavailable;
 }
@@ -39,8 +39,8 @@
   }
   error.code = core::ErrorCode::kUnavailable;
   http::Response response = http::error_response(kUnavailable, error);
-  const core::Duration return_after = failure.return_after.value_or(kReturnAfter);
-  response.head.headers.set("Retry-After", fmt::format("{:.3f}", core::to_seconds(return_after)));
+  const core::Duration retry_after = failure.retry_after.value_or(kDefaultRetryAfter);
+  response.head.headers.set("Retry-After", fmt::format("{:.3f}", core::to_seconds(retry_after)));
   return response;
 }
 
@@ -78,19 +78,20 @@
 ports::ReplicaCall Forwarder::whole_call(const ForwardedRequest& request, const Progress& progress,
                                          std::size_t calls_out) const {
   const Route& route = *request.route;
-  const core::Duration patience = std::max(
-      settings_.shortest_patience, core::from_seconds(core::to_seconds(route.target_latency) *
-                                                      settings_.patience_in_target_latencies));
+  const core::Duration attempt_timeout =
+      std::max(settings_.min_attempt_timeout,
+               core::from_seconds(core::to_seconds(route.target_latency) *
+                                  settings_.attempt_timeout_in_target_latencies));
   ports::ReplicaCall call = replica_call(request, progress);
-  const bool is_last = progress.counted_runs() + calls_out + 1 >= route.most_attempts;
+  const bool is_last = progress.counted_runs() + calls_out + 1 >= route.max_attempts;
   if (is_repeatable(route) && !is_last) {
-    call.time_left = std::min(call.time_left, patience);
+    call.time_left = std::min(call.time_left, attempt_timeout);
   }
   return call;
 }
 
-void Forwarder::note_going_out(const ForwardedRequest& request, const ReplicaPointer& replica,
-                               core::MonotonicTime now, ObservedRun& observed) {
+void Forwarder::record_send(const ForwardedRequest& request, const ReplicaPointer& replica,
+                            core::MonotonicTime now, ObservedRun& observed) {
   observed.sent(now);
   note_sent(*replica, request);
   if (request.on_sent) {
@@ -99,14 +100,14 @@
 }
 
 bool Forwarder::may_try_again(const ForwardedRequest& request, const Progress& progress) const {
-  if (time_.now() >= progress.give_up_at || progress.load_return ||
-      progress.refusals > settings_.most_refusals) {
+  if (time_.now() >= progress.give_up_at || progress.load_retry_after ||
+      progress.refusals > settings_.max_refusals) {
     return false;
   }
   if (progress.runs == 0) {
     return true;
   }
-  return is_repeatable(*request.route) && progress.counted_runs() < request.route->most_attempts;
+  return is_repeatable(*request.route) && progress.counted_runs() < request.route->max_attempts;
 }
 
 void Forwarder::note_failed_run(ReplicaState& replica) {
@@ -147,7 +148,7 @@
                      core::DecisionWeight::kRoutine);
 }
 
-ForwardFailure Forwarder::end_of(const ForwardedRequest& request, Progress& progress) const {
+ForwardFailure Forwarder::make_failure(const ForwardedRequest& request, Progress& progress) const {
   ForwardFailure failure;
   failure.refusal = progress.refusal();
   progress.load.end_unanswered(failure.refusal, time_.now());
@@ -155,34 +156,34 @@
   failure.timed_out = time_.now() >= progress.give_up_at;
   failure.reason = "route " + request.route->name + ": " + progress.reason;
   if (progress.evacuated) {
-    failure.return_after = evacuated_return(*request.route, progress.give_up_at - time_.now());
+    failure.retry_after = evacuated_retry_after(*request.route, progress.give_up_at - time_.now());
   }
   if (progress.held_back) {
-    failure.return_after = settings_.held_back_return;
+    failure.retry_after = settings_.held_back_retry_after;
   }
-  if (progress.load_return) {
-    failure.return_after = progress.load_return;
+  if (progress.load_retry_after) {
+    failure.retry_after = progress.load_retry_after;
     failure.for_load = true;
   }
   return failure;
 }
 
-ForwardResult Forwarder::end_unserved(const ForwardedRequest& request, Progress& progress) {
+ForwardResult Forwarder::fail_unserved(const ForwardedRequest& request, Progress& progress) {
   note_admitted_end(request, progress, nullptr);
   if (progress.last_answer) {
     progress.load.answered(time_.now());
     return std::move(*progress.last_answer);
   }
-  return end_of(request, progress);
+  return make_failure(request, progress);
 }
 
-Forwarder::Verdict Forwarder::judge(const ForwardedRequest& request, ReplicaState& replica,
-                                    ports::ReplicaAnswer& answer, Progress& progress) {
+Forwarder::Verdict Forwarder::assess_answer(const ForwardedRequest& request, ReplicaState& replica,
+                                            ports::ReplicaAnswer& answer, Progress& progress) {
   replica.last_answer = time_.now();
   replica.overtaken_calls = 0;
   const unsigned status = answer.response.head.status;
   const bool is_success = status < 400;
-  const bool retry_may_help = status >= kServerError || is_promise(status);
+  const bool retry_may_help = status >= kServerError || means_not_run(status);
   if (is_success || !retry_may_help) {
     replica.note_success(time_.now());
     guard_.note_served(progress.content_of(request));
@@ -201,9 +202,9 @@
     progress.last_answer = std::move(answer);
     return Verdict::kRetry;
   }
-  // Passed on, it would promise that the request has not run.
-  const bool breaks_promise = is_promise(status) && !is_repeatable(*request.route);
-  return breaks_promise ? Verdict::kGiveUp : Verdict::kAnswer;
+  // Passing the status on would tell the client that the request has not run.
+  const bool would_mislead_client = means_not_run(status) && !is_repeatable(*request.route);
+  return would_mislead_client ? Verdict::kGiveUp : Verdict::kAnswer;
 }
 
 std::optional<CrashGuard::Run> Forwarder::begin_if_suspect(const ReplicaState& replica,
@@ -211,22 +212,22 @@
   return guard_.begin(progress.content, replica, progress.admission);
 }
 
-asio::awaitable<void> Forwarder::settle_failure(const ForwardedRequest& request,
-                                                const ReplicaPointer& replica,
-                                                const ports::CallFailure& failure,
-                                                Progress& progress) {
+asio::awaitable<void> Forwarder::resolve_failure(const ForwardedRequest& request,
+                                                 const ReplicaPointer& replica,
+                                                 const ports::CallFailure& failure,
+                                                 Progress& progress) {
   const bool may_have_run = failure.kind == ports::CallFailureKind::kMayHaveRun;
   if (may_have_run && !failure.unreachable) {
-    co_await settle_broken_run(request, replica, progress);
+    co_await check_broken_run(request, replica, progress);
   }
 }
 
-asio::awaitable<void> Forwarder::settle_broken_run(const ForwardedRequest& request,
-                                                   const ReplicaPointer& replica,
-                                                   Progress& progress) {
-  const bool has_ended =
-      co_await guard_.settle_broken(progress.content_of(request), request.request_id, replica);
-  progress.ended_runs += has_ended ? 1 : 0;
+asio::awaitable<void> Forwarder::check_broken_run(const ForwardedRequest& request,
+                                                  const ReplicaPointer& replica,
+                                                  Progress& progress) {
+  const bool has_ended = co_await guard_.resolve_broken_call(progress.content_of(request),
+                                                             request.request_id, replica);
+  progress.crashed_runs += has_ended ? 1 : 0;
 }
 
 asio::awaitable<ForwardResult> Forwarder::call(ForwardedRequest request) {
@@ -242,16 +243,17 @@
   progress.preference = preference_for(*request.route);
   progress.preference.excluded = request.avoided;
   if (is_refused_for_load(request, progress)) {
-    co_return end_of(request, progress);
+    co_return make_failure(request, progress);
   }
   if (takes_second_calls(request)) {
     co_return co_await run_with_second_calls(request, progress, observed);
   }
-  co_return co_await run_in_turn(request, progress, observed);
+  co_return co_await run_sequentially(request, progress, observed);
 }
 
-asio::awaitable<ForwardResult> Forwarder::run_in_turn(const ForwardedRequest& request,
-                                                      Progress& progress, ObservedRun& observed) {
+asio::awaitable<ForwardResult> Forwarder::run_sequentially(const ForwardedRequest& request,
+                                                           Progress& progress,
+                                                           ObservedRun& observed) {
   while (may_try_again(request, progress)) {
     const ReplicaPointer replica = co_await choose(request, progress);
     if (!replica) {
@@ -261,22 +263,23 @@
     const std::optional<CrashGuard::Run> suspect_run = begin_if_suspect(*replica, progress);
     const core::MonotonicTime sent_at = time_.now();
     const bool was_cold = is_cold(*replica);
-    note_going_out(request, replica, sent_at, observed);
+    record_send(request, replica, sent_at, observed);
     progress.load.sent(sent_at);
     ports::ReplicaTarget target{replica->record.id, replica->record.address};
     ports::CallResult<ports::ReplicaAnswer> answer =
         co_await client_.call(std::move(target), whole_call(request, progress, 0));
     if (!answer) {
       note_attempt(answer.error(), observed);
-      co_await runtime::end_if_cut();  // the replica is not to blame for a call that was cut
-      co_await settle_failure(request, replica, answer.error(), progress);
+      co_await runtime::end_if_cut();  // a cancelled call says nothing about the replica
+      co_await resolve_failure(request, replica, answer.error(), progress);
       note_failure(request, replica, answer.error(), progress);
       continue;
     }
     observed.ran();
-    const Verdict verdict = judge(request, *replica, *answer, progress);
+    const Verdict verdict = assess_answer(request, *replica, *answer, progress);
     if (verdict == Verdict::kAnswer) {
-      if (!was_cold) {  // it is slow for a while, which says nothing of it when warm
+      // a cold replica is slow for a while, which does not predict its speed when warm
+      if (!was_cold) {
         replica->note_latency(time_.now() - sent_at);
       }
       progress.load.answered(time_.now());
@@ -288,7 +291,7 @@
     }
     progress.preference.excluded.insert(replica->record.id);
   }
-  co_return end_unserved(request, progress);
+  co_return fail_unserved(request, progress);
 }
 
 asio::awaitable<void> Forwarder::serve(ForwardedRequest request, http::ResponseWriter& response) {
--- a/src/ingress/forwarder_admission.cpp
+++ b/src/ingress/forwarder_admission.cpp
@@ -1,4 +1,4 @@
-// The part of Forwarder that keeps clients' requests off overloaded services.
+// Admission control of Forwarder: refuses clients' requests while a service is overloaded.
 #include <algorithm>
 
 #include "ingress/forwarder_parts.hpp"
@@ -16,7 +16,7 @@
   asked.tenant = request.tenant;
   asked.rank = request.table != nullptr ? request.table->rank_of(*request.route, request.tenant)
                                         : request.route->priority;
-  // A caller that states no deadline, or one beyond the route's timeout, waits for that.
+  // A caller without a deadline, or with one beyond the route's timeout, waits for the timeout.
   asked.time_left =
       std::min(request.deadline, request.received + request.route->timeout) - time_.now();
   return asked;
@@ -27,11 +27,11 @@
     return false;
   }
   draw_service(request, progress);
-  progress.load_return =
+  progress.load_retry_after =
       admission_->refusal(*progress.service, throttle_request(request), time_.now());
-  progress.is_admitted = !progress.load_return;
+  progress.is_admitted = !progress.load_retry_after;
   progress.admitted_at = time_.now();
-  if (progress.load_return) {
+  if (progress.load_retry_after) {
     progress.reason = "its service is overloaded";
   }
   return !progress.is_admitted;
@@ -42,9 +42,9 @@
   if (!admission_ || !is_refusal_for_load(replica, failure)) {
     return;
   }
-  replica.full_until = time_.now() + settings_.full_memory;
+  replica.full_until = time_.now() + settings_.full_replica_pause;
   if (!progress.is_admitted || progress.runs > 0 || progress.calls_out > 0) {
-    return;  // one that may have run, or may be answered yet, cannot be refused any more
+    return;  // a request that may have run, or may still be answered, cannot be refused any more
   }
   routing::ReplicaRefusal refusal;
   refusal.replica = replica.record.id;
@@ -54,7 +54,7 @@
                     }) == 1;
   refusal.refusals = ++progress.load_refusals;
   refusal.admitted_at = progress.admitted_at;
-  progress.load_return = admission_->refusal_by_replica(
+  progress.load_retry_after = admission_->refusal_by_replica(
       *progress.service, throttle_request(request), refusal, time_.now());
 }
 
--- a/src/ingress/forwarder_choice.cpp
+++ b/src/ingress/forwarder_choice.cpp
@@ -1,4 +1,4 @@
-// The part of Forwarder that chooses a replica, or finds that there is none for a request.
+// Replica selection of Forwarder, including the cases in which a request can get no replica.
 #include <algorithm>
 
 #include "ingress/forwarder_parts.hpp"
@@ -15,16 +15,16 @@
 
 }  // namespace
 
-std::optional<eligibility::Objection> Forwarder::objection(const ReplicaState& replica,
-                                                           const ForwardedRequest& request,
-                                                           bool is_suspect) const {
-  return directory_.gate().objection(replica.destination(), origin_of(request, is_suspect),
-                                     time_.now());
+std::optional<eligibility::BlockReason> Forwarder::block_reason(const ReplicaState& replica,
+                                                                const ForwardedRequest& request,
+                                                                bool is_suspect) const {
+  return directory_.gate().block_reason(replica.destination(), origin_of(request, is_suspect),
+                                        time_.now());
 }
 
-bool Forwarder::may_get(const ReplicaState& replica, const ForwardedRequest& request,
-                        bool is_suspect) const {
-  return replica.accepts_work() && !objection(replica, request, is_suspect);
+bool Forwarder::may_send_to(const ReplicaState& replica, const ForwardedRequest& request,
+                            bool is_suspect) const {
+  return replica.accepts_work() && !block_reason(replica, request, is_suspect);
 }
 
 bool Forwarder::is_cold(const ReplicaState& replica) const {
@@ -34,8 +34,8 @@
 bool Forwarder::is_held_for_cold(const ForwardedRequest& request) const {
   for (const RouteTarget& target : request.route->targets) {
     for (const ReplicaPointer& replica : directory_.of_service(target.service)) {
-      const bool is_held = replica->accepts_work() &&
-                           objection(*replica, request, false) == eligibility::Objection::kColdPace;
+      const bool is_held = replica->accepts_work() && block_reason(*replica, request, false) ==
+                                                          eligibility::BlockReason::kColdRateLimit;
       if (is_held) {
         return true;
       }
@@ -55,7 +55,7 @@
   progress.reason = "only cold replicas are left";
   const core::Duration longest = core::from_seconds(
       core::to_seconds(request.route->target_latency) * settings_.cold_wait_in_target_latencies);
-  // One that has run already can be refused no more.
+  // A request that has already run cannot be refused any more.
   return progress.runs == 0 && time_.now() - request.received >= longest;
 }
 
@@ -93,15 +93,15 @@
   return has_replicas;
 }
 
-core::Duration Forwarder::evacuated_return(const Route& route, core::Duration left) const {
+core::Duration Forwarder::evacuated_retry_after(const Route& route, core::Duration left) const {
   for (const RouteTarget& target : route.targets) {
     for (const ReplicaPointer& replica : directory_.of_service(target.service)) {
       if (directory_.gate().is_open(replica->record.zone)) {
-        return kReturnAfter;
+        return kDefaultRetryAfter;
       }
     }
   }
-  return std::clamp(left / 2, kReturnAfter, settings_.evacuated_return);
+  return std::clamp(left / 2, kDefaultRetryAfter, settings_.evacuated_retry_after);
 }
 
 std::vector<ReplicaPointer> Forwarder::candidates(const ForwardedRequest& request,
@@ -110,7 +110,7 @@
   const std::vector<ReplicaPointer>& replicas = directory_.of_service(*progress.service);
   const auto usable = [&](const ReplicaState& replica) {
     const bool was_tried = progress.preference.excluded.contains(replica.record.id);
-    return !was_tried && may_get(replica, request, is_suspect);
+    return !was_tried && may_send_to(replica, request, is_suspect);
   };
   const auto has_room = [&](const ReplicaState& replica) {
     const bool is_sound = !replica.is_suspect(now) && !replica.outliers.is_ejected(now);
@@ -124,7 +124,7 @@
   }
   for (const RouteTarget& target : request.route->targets) {
     for (const ReplicaPointer& other : directory_.of_service(target.service)) {
-      if (may_get(*other, request, is_suspect)) {
+      if (may_send_to(*other, request, is_suspect)) {
         found.push_back(other);
       }
     }
@@ -149,7 +149,8 @@
       break;
     }
   }
-  progress.load = LoadLedger::Request(ledger_, *progress.service, request.tenant, time_.now());
+  progress.load =
+      LoadStatistics::Request(load_statistics_, *progress.service, request.tenant, time_.now());
 }
 
 Forwarder::Choice Forwarder::choose_now(const ForwardedRequest& request, Progress& progress) {
@@ -169,8 +170,8 @@
   return choice;
 }
 
-bool Forwarder::ends_without_replica(const ForwardedRequest& request, Progress& progress,
-                                     const Choice& choice) {
+bool Forwarder::fails_without_replica(const ForwardedRequest& request, Progress& progress,
+                                      const Choice& choice) {
   if (progress.admission.kind == AdmissionKind::kHeld) {
     progress.held_back = true;
     progress.reason = "held back: replicas ended under it";
@@ -186,7 +187,7 @@
     progress.reason = "no replica in the regions that its route and tenant allow";
     return true;
   }
-  // What has begun is worth waiting for the zone; what has not is told to come back.
+  // Requests that have started wait for the zone to reopen; others are refused with a Retry-After.
   if (progress.runs == 0 && !progress.started && is_evacuated(*request.route)) {
     progress.evacuated = true;
     progress.reason = "all replicas lie in evacuated zones";
@@ -204,12 +205,12 @@
     if (choice.replica) {
       co_return choice.replica;
     }
-    if (ends_without_replica(request, progress, choice)) {
+    if (fails_without_replica(request, progress, choice)) {
       co_return nullptr;
     }
     const bool waits_to_run_apart = progress.admission.kind == AdmissionKind::kWait;
     if (!waits_to_run_apart || choice.were_all_tried) {
-      progress.preference.excluded.clear();  // any may be tried again
+      progress.preference.excluded.clear();  // all replicas may be tried again
     }
     progress.load.wait(time_.now());
     co_await runtime::sleep_for(waits_to_run_apart ? settings_.suspect_pause
@@ -233,7 +234,7 @@
   if (refusals > 0) {
     return RefusalReason::kReplicasRefused;
   }
-  if (load_return) {
+  if (load_retry_after) {
     return RefusalReason::kOverload;
   }
   return was_looked_for ? RefusalReason::kNoReplica : RefusalReason::kTooLate;
@@ -245,7 +246,7 @@
   preference.in_other_region = [this](const core::ZoneName& zone) {
     return directory_.gate().region_of(zone) != settings_.region;
   };
-  if (is_repeatable(route)) {  // others never go out on a kept connection
+  if (is_repeatable(route)) {  // other requests never use a kept connection
     preference.is_connected = [this](const core::Address& address) {
       return client_.keeps_connection(address);
     };
--- a/src/ingress/forwarder_second.cpp
+++ b/src/ingress/forwarder_second.cpp
@@ -1,4 +1,4 @@
-// The part of Forwarder that sends second calls beside those that take unusually long.
+// Second calls of Forwarder, sent while the first call takes unusually long.
 #include <algorithm>
 #include <limits>
 
@@ -32,11 +32,11 @@
   const bool is_of_client = request.sender == eligibility::Sender::kFrontEnd;
   const bool is_whole = route.kind != RouteKind::kStream && route.kind != RouteKind::kRollout;
   return settings_.second_calls && is_of_client && is_whole && is_repeatable(route) &&
-         route.most_attempts > 1;
+         route.max_attempts > 1;
 }
 
 bool Forwarder::may_send_second(const ForwardedRequest& request, Progress& progress) const {
-  // One that ends replicas would end two at once.
+  // A request that crashes replicas would crash two at once.
   if (guard_.has_suspects() && guard_.is_suspect(progress.content_of(request))) {
     return false;
   }
@@ -52,14 +52,14 @@
 void Forwarder::send(const ForwardedRequest& request, const CallAttemptPointer& attempt,
                      CallRace& race, Progress& progress, ObservedRun& observed) {
   attempt->was_cold = is_cold(*attempt->replica);
-  note_going_out(request, attempt->replica, attempt->sent_at, observed);
+  record_send(request, attempt->replica, attempt->sent_at, observed);
   const ReplicaRecord& record = attempt->replica->record;
   ports::ReplicaTarget target{record.id, record.address};
   ports::ReplicaCall call = whole_call(request, progress, race.calls().size());
-  const auto look = [this, &request, &progress, replica = attempt->replica] {
-    return guard_.settle_broken(progress.content_of(request), request.request_id, replica);
+  const auto check = [this, &request, &progress, replica = attempt->replica] {
+    return guard_.resolve_broken_call(progress.content_of(request), request.request_id, replica);
   };
-  race.begin(attempt, client_.call(std::move(target), std::move(call)), look);
+  race.begin(attempt, client_.call(std::move(target), std::move(call)), check);
 }
 
 void Forwarder::send_first(const ForwardedRequest& request, const ReplicaPointer& replica,
@@ -74,8 +74,8 @@
   send(request, attempt, race, progress, observed);
 }
 
-ReplicaPointer Forwarder::choose_beside(const ForwardedRequest& request, const CallRace& race,
-                                        const Progress& progress) {
+ReplicaPointer Forwarder::choose_for_second_call(const ForwardedRequest& request,
+                                                 const CallRace& race, const Progress& progress) {
   const core::MonotonicTime now = time_.now();
   const auto may_not = [&](const ReplicaPointer& replica) {
     const bool is_sound = !replica->is_suspect(now) && !replica->outliers.is_ejected(now) &&
@@ -98,19 +98,19 @@
                                    Progress& progress, ObservedRun& observed) {
   const core::MonotonicTime now = time_.now();
   const Route& route = *request.route;
-  routing::CallsOut calls;
+  routing::OutstandingCalls calls;
   calls.newest_taken = now - race.calls().back()->sent_at;
   calls.usual = usual_time(route);
   calls.out = race.calls().size();
-  calls.most = route.most_attempts - std::min(route.most_attempts, progress.runs);
+  calls.max_calls = route.max_attempts - std::min(route.max_attempts, progress.runs);
   if (!routing::is_overdue(calls) || !may_send_second(request, progress)) {
     return;
   }
-  const ReplicaPointer replica = choose_beside(request, race, progress);
-  routing::Elsewhere elsewhere;
+  const ReplicaPointer replica = choose_for_second_call(request, race, progress);
+  routing::OtherReplicas elsewhere;
   elsewhere.is_sound = replica != nullptr;
   elsewhere.has_place = replica != nullptr;
-  if (routing::next_call(calls, elsewhere) != routing::NextCall::kBeside) {
+  if (routing::next_call(calls, elsewhere) != routing::NextCall::kSendSecond) {
     return;
   }
   if (!history_of(route).second_calls.try_retry(now)) {
@@ -127,9 +127,9 @@
   send(request, attempt, race, progress, observed);
 }
 
-core::Duration Forwarder::next_look(const Route& route, const CallRace& race) {
+core::Duration Forwarder::time_until_next_check(const Route& route, const CallRace& race) {
   const core::MonotonicTime due = race.calls().back()->sent_at + usual_time(route);
-  return std::max(due - time_.now(), settings_.second_call_settings.look_interval);
+  return std::max(due - time_.now(), settings_.second_call_settings.poll_interval);
 }
 
 void Forwarder::on_overtaken(const Route& route, CallAttempt& attempt) {
@@ -137,10 +137,11 @@
   const core::MonotonicTime now = time_.now();
   const core::Duration taken = now - attempt.sent_at;
   if (attempt.was_cold) {
-    return;  // it is slow for a while, which says nothing of it when warm
+    return;  // a cold replica is slow for a while, which does not predict its speed when warm
   }
   if (replica.last_answer >= attempt.sent_at) {
-    // It takes at least that long; without it, only the quick ones would be known.
+    // The time so far is a lower bound of the latency; without it only fast calls would be
+    // recorded.
     replica.note_latency(taken);
     pressure_of(replica.record.service)
         .note_answer(replica.record.id, taken > usual_time(route), now);
@@ -152,7 +153,7 @@
   }
   const routing::SilentCall call{taken, usual_time(route), route.target_latency,
                                  replica.overtaken_calls};
-  if (routing::is_telling(call, settings_.second_call_settings.silence)) {
+  if (routing::indicates_silence(call, settings_.second_call_settings.silence)) {
     note_silent(replica);
   }
 }
@@ -176,12 +177,12 @@
       on_overtaken(route, *other);
     }
   }
-  race.cut_all();
+  race.cancel_all();
 }
 
-void Forwarder::settle_without_answer(const ForwardedRequest& request, const CallAttempt& attempt,
-                                      const ports::CallFailure& failure, const CallRace& race,
-                                      Progress& progress, ObservedRun& observed) {
+void Forwarder::finish_failed_call(const ForwardedRequest& request, const CallAttempt& attempt,
+                                   const ports::CallFailure& failure, const CallRace& race,
+                                   Progress& progress, ObservedRun& observed) {
   if (attempt.is_broken()) {
     observed.ran_since(attempt.sent_at);
   } else {
@@ -193,24 +194,24 @@
   if (failure.kind == ports::CallFailureKind::kNotRun && !failure.unreachable) {
     pressure_of(attempt.replica->record.service).note_refusal(time_.now());
   }
-  progress.ended_runs += attempt.replica_has_ended ? 1 : 0;
+  progress.crashed_runs += attempt.replica_has_crashed ? 1 : 0;
   progress.calls_out = race.calls().size();
   note_failure(request, attempt.replica, failure, progress);
 }
 
-std::optional<ForwardResult> Forwarder::settle(const ForwardedRequest& request,
-                                               CallAttempt& attempt, CallRace& race,
-                                               Progress& progress, ObservedRun& observed) {
+std::optional<ForwardResult> Forwarder::finish_call(const ForwardedRequest& request,
+                                                    CallAttempt& attempt, CallRace& race,
+                                                    Progress& progress, ObservedRun& observed) {
   if (!attempt.result) {
     attempt.result = ports::CallFailure{.reason = "the call ended without a result"};
   }
   ports::CallResult<ports::ReplicaAnswer>& answer = *attempt.result;
   if (!answer) {
-    settle_without_answer(request, attempt, answer.error(), race, progress, observed);
+    finish_failed_call(request, attempt, answer.error(), race, progress, observed);
     return std::nullopt;
   }
   observed.ran_since(attempt.sent_at);
-  if (judge(request, *attempt.replica, answer.value(), progress) != Verdict::kAnswer) {
+  if (assess_answer(request, *attempt.replica, answer.value(), progress) != Verdict::kAnswer) {
     progress.preference.excluded.insert(attempt.replica->record.id);
     return std::nullopt;
   }
@@ -235,20 +236,20 @@
       }
       send_first(request, replica, race, progress, observed);
     }
-    co_await race.wait(next_look(*request.route, race));
+    co_await race.wait(time_until_next_check(*request.route, race));
     co_await runtime::end_if_cut();
     while (const CallAttemptPointer ended = race.take_ended()) {
-      std::optional<ForwardResult> result = settle(request, *ended, race, progress, observed);
+      std::optional<ForwardResult> result = finish_call(request, *ended, race, progress, observed);
       if (result) {
         co_return std::move(*result);
       }
     }
-    // One that ended its replica would end another one.
-    if (!race.calls().empty() && !race.looks_at_replica()) {
+    // A request that crashed its replica would crash another one.
+    if (!race.calls().empty() && !race.is_checking_replica()) {
       send_second_if_due(request, race, progress, observed);
     }
   }
-  co_return end_unserved(request, progress);
+  co_return fail_unserved(request, progress);
 }
 
 }  // namespace stoneport::ingress
--- a/src/ingress/forwarder_streams.cpp
+++ b/src/ingress/forwarder_streams.cpp
@@ -1,4 +1,4 @@
-// The part of Forwarder that passes streams on.
+// Streaming of Forwarder.
 #include "core/decision_log.hpp"
 #include "ingress/forwarder_parts.hpp"
 #include "runtime/cancellable.hpp"
@@ -69,14 +69,14 @@
     }
     if (!*opened) {
       note_attempt(opened->error(), observed);
-      co_await settle_failure(request, replica, opened->error(), progress);
+      co_await resolve_failure(request, replica, opened->error(), progress);
       note_failure(request, replica, opened->error(), progress);
       continue;
     }
     observed.ran();
     ports::StreamAnswer& answer = **opened;
     if (answer.rejection) {
-      const Verdict verdict = judge(request, *replica, *answer.rejection, progress);
+      const Verdict verdict = assess_answer(request, *replica, *answer.rejection, progress);
       if (verdict == Verdict::kAnswer && !progress.started) {
         progress.load.answered(time_.now());
         co_await response.send(std::move(answer.rejection->response));
@@ -109,16 +109,17 @@
     }
     ++progress.runs;
     if (!progress.fell_silent) {
-      co_await settle_broken_run(request, replica, progress);
+      co_await check_broken_run(request, replica, progress);
     }
     progress.preference.excluded.insert(replica->record.id);
   }
-  const ForwardFailure failure = end_of(request, progress);
+  const ForwardFailure failure = make_failure(request, progress);
   if (!progress.started) {
     co_await answer_failure(request, failure, response);
     co_return;
   }
-  // Returning without an end cuts the stream, so that it never looks whole.
+  // Returning without an end event aborts the stream, so that the client cannot mistake it for
+  // complete.
   meters_->failed.Increment();
   core::log_decision(core::DecisionEvent::kRequestRefused,
                      {{"request", request.request_id}, {"reason", failure.reason}});
--- a/src/ingress/load_admission.cpp
+++ b/src/ingress/load_admission.cpp
@@ -6,9 +6,10 @@
 namespace {
 
 prometheus::Counter& refusals(core::Metrics& metrics, const std::string& reason) {
-  return metrics.counter("stoneport_load_admission_refusals_total",
-                         "Clients' requests refused at once as their service is overloaded",
-                         {{"reason", reason}});
+  return metrics.counter(
+      "stoneport_load_admission_refusals_total",
+      "Clients' requests refused immediately because their service is overloaded",
+      {{"reason", reason}});
 }
 
 }  // namespace
@@ -18,7 +19,7 @@
       returned(refusals(metrics, "returned")),
       replicas_full(refusals(metrics, "replicas_full")),
       refused_sends(metrics.counter("stoneport_refused_sends_total",
-                                    "Sends of clients' requests that a full replica refused")) {}
+                                    "Attempts of clients' requests that a full replica refused")) {}
 
 LoadAdmission::LoadAdmission(routing::AdaptiveThrottleSettings settings, std::uint64_t seed,
                              core::Metrics& metrics)
@@ -30,7 +31,8 @@
 
 void LoadAdmission::publish_overload(const core::ServiceName& service, bool overloaded) {
   metrics_
-      .gauge("stoneport_service_overloaded", "1 while replicas of the service refuse for load",
+      .gauge("stoneport_service_overloaded",
+             "1 while replicas of the service refuse requests for load",
              {{"service", service.value()}})
       .Set(overloaded ? 1 : 0);
   const routing::ThrottleCounts& counts = throttle_of(service).counts();
@@ -62,14 +64,14 @@
                                                      const routing::ThrottleRequest& request,
                                                      core::MonotonicTime now) {
   end_overloads(now);
-  const routing::ThrottleDecision decision = throttle_of(service).ask(request, now);
+  const routing::ThrottleDecision decision = throttle_of(service).decide(request, now);
   switch (decision.verdict) {
     case routing::ThrottleVerdict::kAdmit:
       return std::nullopt;
     case routing::ThrottleVerdict::kOverShare:
       meters_.over_share.Increment();
       break;
-    case routing::ThrottleVerdict::kReturned:
+    case routing::ThrottleVerdict::kRetried:
       meters_.returned.Increment();
       break;
   }
--- a/src/ingress/load_admission.hpp
+++ b/src/ingress/load_admission.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Refuses clients' requests at once while their service is overloaded, and counts and logs that.
-/// One throttle for each service; how it decides is routing/adaptive_throttle. Belongs to one
-/// thread. docs/design/load-admission.md
+/// Refuses clients' requests immediately while their service is overloaded, with metrics and logs.
+/// Has one throttle per service, which decides (routing/adaptive_throttle). Not thread-safe.
+/// docs/design/load-admission.md
 #pragma once
 
 #include <map>
@@ -18,23 +18,23 @@
   LoadAdmission(routing::AdaptiveThrottleSettings settings, std::uint64_t seed,
                 core::Metrics& metrics);
 
-  /// Decides on a request before it is sent first.
-  /// \return when to come back, for a request that is refused.
+  /// Decides on a request before its first send.
+  /// \return the Retry-After value if the request is refused.
   std::optional<core::Duration> refusal(const core::ServiceName& service,
                                         const routing::ThrottleRequest& request,
                                         core::MonotonicTime now);
-  /// A replica refused an admitted request as it is full.
-  /// \return when to come back, for a request that may go to no further replica.
+  /// Records that a full replica refused an admitted request.
+  /// \return the Retry-After value if the request may not be sent to another replica.
   std::optional<core::Duration> refusal_by_replica(const core::ServiceName& service,
                                                    const routing::ThrottleRequest& request,
                                                    const routing::ReplicaRefusal& refusal,
                                                    core::MonotonicTime now);
-  /// An admitted request ended. One whose client left meanwhile is not told of.
-  /// \param took from its send to its answer; nothing when none came
-  /// \param target latency of its route
+  /// Records the end of an admitted request. Not called for a request whose client disconnected.
+  /// \param took time from its first send to its answer; nothing if there was no answer
+  /// \param target target latency of its route
   void note_end(const core::ServiceName& service, const routing::ThrottleRequest& request,
                 std::optional<core::Duration> took, core::Duration target, core::MonotonicTime now);
-  /// \return what was decided for each service since the start.
+  /// \return the decisions since start-up by service.
   std::map<core::ServiceName, routing::ThrottleCounts> counts() const;
 
  private:
@@ -48,7 +48,7 @@
 
   routing::AdaptiveThrottle& throttle_of(const core::ServiceName& service);
   void begin_overload(const core::ServiceName& service);
-  /// Takes out the services whose replicas refused nothing lately.
+  /// Ends the overload of services whose replicas have refused nothing recently.
   void end_overloads(core::MonotonicTime now);
   void publish_overload(const core::ServiceName& service, bool overloaded);
 
--- a/src/ingress/load_ledger.cpp
+++ b/src/ingress/load_statistics.cpp
@@ -1,4 +1,4 @@
-#include "ingress/load_ledger.hpp"
+#include "ingress/load_statistics.hpp"
 
 #include <algorithm>
 #include <numeric>
@@ -12,7 +12,7 @@
   std::string_view name;
 };
 
-/// In the order of the enumeration.
+/// In the order of the enumerators.
 constexpr std::array kReasonNames = {
     ReasonName{RefusalReason::kOverload, "overload"},
     ReasonName{RefusalReason::kReplicasRefused, "replicas_refused"},
@@ -24,7 +24,7 @@
 };
 static_assert(kReasonNames.size() == kRefusalReasons);
 
-/// A window of every name together is what LoadLedger::kMostServices and kMostTenants allow for.
+/// Bounds the memory that LoadStatistics::kMaxServices and kMaxTenants are chosen for.
 static_assert(sizeof(detail::LoadWindow) <= 2048);
 
 std::int64_t second_of(core::MonotonicTime now) {
@@ -94,7 +94,8 @@
 }  // namespace detail
 
 template <class Name, std::size_t kMost>
-detail::LoadWindow& LoadLedger::Table<Name, kMost>::of(const Name& name, core::MonotonicTime now) {
+detail::LoadWindow& LoadStatistics::Table<Name, kMost>::of(const Name& name,
+                                                           core::MonotonicTime now) {
   const auto found = windows_.find(name);
   if (found != windows_.end()) {
     return found->second;
@@ -106,7 +107,7 @@
 }
 
 template <class Name, std::size_t kMost>
-void LoadLedger::Table<Name, kMost>::drop_least_used(core::MonotonicTime now) {
+void LoadStatistics::Table<Name, kMost>::drop_least_used(core::MonotonicTime now) {
   auto least = windows_.begin();
   std::uint64_t least_asked = least->second.recent(now).asked;
   for (auto window = std::next(least); window != windows_.end(); ++window) {
@@ -121,7 +122,8 @@
 }
 
 template <class Name, std::size_t kMost>
-std::map<Name, LoadEntry> LoadLedger::Table<Name, kMost>::entries(core::MonotonicTime now) const {
+std::map<Name, LoadEntry> LoadStatistics::Table<Name, kMost>::entries(
+    core::MonotonicTime now) const {
   std::map<Name, LoadEntry> entries;
   for (const auto& [name, window] : windows_) {
     entries[name] = {window.recent(now), window.total(), 0};
@@ -130,20 +132,20 @@
 }
 
 template <class Name, std::size_t kMost>
-LoadCounts LoadLedger::Table<Name, kMost>::recent_of(const Name& name,
-                                                     core::MonotonicTime now) const {
+LoadCounts LoadStatistics::Table<Name, kMost>::recent_of(const Name& name,
+                                                         core::MonotonicTime now) const {
   const auto found = windows_.find(name);
   return found == windows_.end() ? LoadCounts() : found->second.recent(now);
 }
 
 template <class Name, std::size_t kMost>
-LoadEntry LoadLedger::Table<Name, kMost>::others(core::MonotonicTime now) const {
+LoadEntry LoadStatistics::Table<Name, kMost>::others(core::MonotonicTime now) const {
   return {others_.recent(now), others_.total(), 0};
 }
 
 namespace {
 
-/// Takes in a request that has waited for \p waited so far.
+/// Adds a request that has waited for \p waited so far.
 void add_waiting(LoadEntry& entry, core::Duration waited) {
   ++entry.waiting;
   entry.recent.longest_wait = std::max(entry.recent.longest_wait, waited);
@@ -152,11 +154,12 @@
 
 }  // namespace
 
-LoadCounts LoadLedger::recent_of(const core::ServiceName& service, core::MonotonicTime now) const {
+LoadCounts LoadStatistics::recent_of(const core::ServiceName& service,
+                                     core::MonotonicTime now) const {
   return services_.recent_of(service, now);
 }
 
-LoadLedger::Services LoadLedger::services(core::MonotonicTime now) const {
+LoadStatistics::Services LoadStatistics::services(core::MonotonicTime now) const {
   Services entries = services_.entries(now);
   for (const Waiting& waiting : waiting_) {
     const auto entry = entries.find(waiting.service);
@@ -167,7 +170,7 @@
   return entries;
 }
 
-LoadLedger::Tenants LoadLedger::tenants(core::MonotonicTime now) const {
+LoadStatistics::Tenants LoadStatistics::tenants(core::MonotonicTime now) const {
   Tenants entries = tenants_.entries(now);
   for (const Waiting& waiting : waiting_) {
     const auto entry = entries.find(waiting.tenant);
@@ -178,7 +181,7 @@
   return entries;
 }
 
-LoadEntry LoadLedger::other_services(core::MonotonicTime now) const {
+LoadEntry LoadStatistics::other_services(core::MonotonicTime now) const {
   LoadEntry entry = services_.others(now);
   for (const Waiting& waiting : waiting_) {
     if (!services_.contains(waiting.service)) {
@@ -188,7 +191,7 @@
   return entry;
 }
 
-LoadEntry LoadLedger::other_tenants(core::MonotonicTime now) const {
+LoadEntry LoadStatistics::other_tenants(core::MonotonicTime now) const {
   LoadEntry entry = tenants_.others(now);
   for (const Waiting& waiting : waiting_) {
     if (!tenants_.contains(waiting.tenant)) {
@@ -199,8 +202,8 @@
 }
 
 template <class Change>
-void LoadLedger::count(const core::ServiceName& service, const core::TenantName& tenant,
-                       core::MonotonicTime now, Change change) {
+void LoadStatistics::count(const core::ServiceName& service, const core::TenantName& tenant,
+                           core::MonotonicTime now, Change change) {
   latest_ = std::max(latest_, now);
   detail::LoadWindow& of_service = services_.of(service, now);
   change(of_service.bucket(now));
@@ -210,7 +213,7 @@
   change(of_tenant.total());
 }
 
-void LoadLedger::end_wait(WaitingList::iterator waiting, core::MonotonicTime now) {
+void LoadStatistics::end_wait(WaitingList::iterator waiting, core::MonotonicTime now) {
   const Waiting ended = std::move(*waiting);
   waiting_.erase(waiting);
   const core::Duration waited = now - ended.since;
@@ -219,22 +222,23 @@
   });
 }
 
-LoadLedger::Request::Request(std::shared_ptr<LoadLedger> ledger, core::ServiceName service,
-                             core::TenantName tenant, core::MonotonicTime now)
-    : ledger_(std::move(ledger)), service_(std::move(service)), tenant_(std::move(tenant)) {
+LoadStatistics::Request::Request(std::shared_ptr<LoadStatistics> statistics,
+                                 core::ServiceName service, core::TenantName tenant,
+                                 core::MonotonicTime now)
+    : statistics_(std::move(statistics)), service_(std::move(service)), tenant_(std::move(tenant)) {
   count(now, [](LoadCounts& counts) { ++counts.asked; });
 }
 
-LoadLedger::Request::Request(Request&& other) noexcept
-    : ledger_(std::exchange(other.ledger_, nullptr)),
+LoadStatistics::Request::Request(Request&& other) noexcept
+    : statistics_(std::exchange(other.statistics_, nullptr)),
       service_(std::move(other.service_)),
       tenant_(std::move(other.tenant_)),
       waiting_(std::exchange(other.waiting_, std::nullopt)) {}
 
-LoadLedger::Request& LoadLedger::Request::operator=(Request&& other) noexcept {
+LoadStatistics::Request& LoadStatistics::Request::operator=(Request&& other) noexcept {
   if (this != &other) {
     abandon();
-    ledger_ = std::exchange(other.ledger_, nullptr);
+    statistics_ = std::exchange(other.statistics_, nullptr);
     service_ = std::move(other.service_);
     tenant_ = std::move(other.tenant_);
     waiting_ = std::exchange(other.waiting_, std::nullopt);
@@ -243,71 +247,71 @@
 }
 
 template <class Change>
-void LoadLedger::Request::count(core::MonotonicTime now, Change change) {
-  if (ledger_ != nullptr) {
-    ledger_->count(service_, tenant_, now, change);
+void LoadStatistics::Request::count(core::MonotonicTime now, Change change) {
+  if (statistics_ != nullptr) {
+    statistics_->count(service_, tenant_, now, change);
   }
 }
 
 template <class Change>
-void LoadLedger::Request::end(core::MonotonicTime now, Change change) {
+void LoadStatistics::Request::end(core::MonotonicTime now, Change change) {
   end_wait(now);
   count(now, change);
-  ledger_ = nullptr;
+  statistics_ = nullptr;
 }
 
-void LoadLedger::Request::end_wait(core::MonotonicTime now) {
+void LoadStatistics::Request::end_wait(core::MonotonicTime now) {
   if (waiting_) {
-    ledger_->end_wait(*std::exchange(waiting_, std::nullopt), now);
+    statistics_->end_wait(*std::exchange(waiting_, std::nullopt), now);
   }
 }
 
-void LoadLedger::Request::abandon() {
-  if (ledger_ != nullptr) {
-    end(ledger_->latest_, [](LoadCounts& counts) { ++counts.abandoned; });
+void LoadStatistics::Request::abandon() {
+  if (statistics_ != nullptr) {
+    end(statistics_->latest_, [](LoadCounts& counts) { ++counts.abandoned; });
   }
 }
 
-void LoadLedger::Request::wait(core::MonotonicTime now) {
-  if (ledger_ != nullptr && !waiting_) {
-    waiting_ = ledger_->waiting_.insert(ledger_->waiting_.end(), {service_, tenant_, now});
+void LoadStatistics::Request::wait(core::MonotonicTime now) {
+  if (statistics_ != nullptr && !waiting_) {
+    waiting_ = statistics_->waiting_.insert(statistics_->waiting_.end(), {service_, tenant_, now});
   }
 }
 
-void LoadLedger::Request::sent(core::MonotonicTime now) {
+void LoadStatistics::Request::sent(core::MonotonicTime now) {
   end_wait(now);
   count(now, [](LoadCounts& counts) { ++counts.sends; });
 }
 
-void LoadLedger::Request::refused_by_replica(core::MonotonicTime now) {
+void LoadStatistics::Request::refused_by_replica(core::MonotonicTime now) {
   count(now, [](LoadCounts& counts) { ++counts.sends_refused; });
 }
 
-void LoadLedger::Request::second_call_sent(core::MonotonicTime now) {
+void LoadStatistics::Request::second_call_sent(core::MonotonicTime now) {
   count(now, [](LoadCounts& counts) {
     ++counts.second_calls;
     ++counts.sends;
   });
 }
 
-void LoadLedger::Request::second_call_won(core::MonotonicTime now) {
+void LoadStatistics::Request::second_call_won(core::MonotonicTime now) {
   count(now, [](LoadCounts& counts) { ++counts.second_calls_won; });
 }
 
-void LoadLedger::Request::answered(core::MonotonicTime now) {
+void LoadStatistics::Request::answered(core::MonotonicTime now) {
   end(now, [](LoadCounts& counts) { ++counts.answered; });
 }
 
-void LoadLedger::Request::refused(RefusalReason reason, core::MonotonicTime now) {
+void LoadStatistics::Request::refused(RefusalReason reason, core::MonotonicTime now) {
   end(now, [reason](LoadCounts& counts) { ++counts.refused[static_cast<std::size_t>(reason)]; });
 }
 
-void LoadLedger::Request::failed(core::MonotonicTime now) {
+void LoadStatistics::Request::failed(core::MonotonicTime now) {
   end(now, [](LoadCounts& counts) { ++counts.failed; });
 }
 
-void LoadLedger::Request::end_unanswered(std::optional<RefusalReason> refusal,
-                                         core::MonotonicTime now) {
+void LoadStatistics::Request::end_unanswered(std::optional<RefusalReason> refusal,
+                                             core::MonotonicTime now) {
   if (refusal) {
     refused(*refusal, now);
   } else {
--- a/src/ingress/outlier_detector.hpp
+++ b/src/ingress/outlier_detector.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Outlier ejection of one replica: one that fails much of what it runs, while its
-/// health check may be good, gets no work for a time that grows with each ejection.
-/// Plain code, a part of a replica's state; belongs to one thread.
+/// Outlier ejection of one replica: a replica that fails many of its calls, possibly with a passing
+/// health check, gets no work for a time that grows with each ejection. Part of a replica's state;
+/// not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,9 @@
 namespace stoneport::ingress {
 
 struct OutlierSettings {
-  /// Of the newest outcome in the moving average of failures.
+  /// Weight of the newest outcome in the moving average of failures.
   double outcome_weight = 0.25;
-  /// A replica that fails a larger share of its calls is ejected.
+  /// Failure rate above which a replica is ejected.
   double ejection_rate = 0.4;
   core::Duration first_ejection = std::chrono::milliseconds(1500);
   core::Duration longest_ejection = std::chrono::seconds(6);
@@ -23,20 +23,20 @@
  public:
   explicit OutlierDetector(OutlierSettings settings = {}) : settings_(settings) {}
 
-  /// A call was answered by the replica as it should be. Refusals count as neither.
+  /// Records a correct answer. Refusals count neither as success nor as failure.
   void note_success();
-  /// The replica ran a call, or was to run it, and failed.
-  /// \return whether that ejects it.
+  /// Records a failed call.
+  /// \return whether the failure ejects the replica.
   bool note_failure(core::MonotonicTime now);
   bool is_ejected(core::MonotonicTime now) const { return now < ejected_until_; }
   core::MonotonicTime ejected_until() const { return ejected_until_; }
-  /// \return the moving average of failures, 0 to 1.
+  /// \return the moving average of failures, between 0 and 1.
   double failure_rate() const { return failure_rate_; }
 
  private:
   OutlierSettings settings_;
   double failure_rate_ = 0;
-  std::uint32_t ejections_ = 0;  ///< in a row, without a success that told recovery
+  std::uint32_t ejections_ = 0;  ///< consecutive ejections without recovery
   core::MonotonicTime ejected_until_{};
 };
 
--- a/src/ingress/replica_directory.cpp
+++ b/src/ingress/replica_directory.cpp
@@ -10,28 +10,28 @@
 namespace {
 
 constexpr double kLatencyWeight = 0.2;
-/// In calls: how much better a replica of another zone must be.
+/// Cost, in calls, of a replica in another zone.
 constexpr double kOtherZoneCost = 0.5;
-/// In calls, on top of the other zone: a round trip between regions (24 ms at 12 ms one way) takes
-/// as long as an ordinary call works (25 ms), so it costs one call; bytes between regions have a
-/// price besides, taken as one call more. Replicas of the own region that are lightly loaded come
-/// first, busy, slow and suspected ones do not.
+/// Cost, in calls, of a replica in another region, in addition to the zone's. A round trip between
+/// regions (24 ms at 12 ms one way) takes as long as an average call (25 ms), which costs one call;
+/// traffic between regions is charged, which counts as one more. Lightly loaded replicas of the own
+/// region are preferred; busy, slow and suspect ones are not.
 constexpr double kOtherRegionCost = 2;
-/// In calls: a new connection takes a replica's time and is priced, and with hundreds of
-/// processes that each send a call a second nearly every call would open one.
+/// Cost, in calls, of a new connection: it takes replica time and is charged, and with hundreds of
+/// processes that each send one call per second nearly every call would open a connection.
 constexpr double kNewConnectionCost = 1;
-/// In calls: a cold one takes longer, and bears only few.
+/// Cost, in calls, of a cold replica, which is slower and has little capacity.
 constexpr double kColdCost = 2;
-/// Replicas of the own region that are drawn besides, where there are others.
+/// Number of additional draws from the own region if the service has replicas elsewhere.
 constexpr int kNearDraws = 2;
-/// In calls: one other process found it silent or failing, and may be wrong. As long as others have
-/// two calls less it gets none.
+/// Cost, in calls, of a replica that one other process reported silent or failing, possibly
+/// wrongly. It gets no calls as long as others have two fewer.
 constexpr double kDoubtedCost = 2;
 constexpr double kAvoidedCost = 1000;
-/// Of a service's replicas; with more of them ejected, ejection is ignored.
-constexpr double kMostEjectedShare = 0.5;
+/// Share of a service's replicas; if more are ejected, ejection is ignored.
+constexpr double kMaxEjectedShare = 0.5;
 
-/// The time that one more call is likely to take there, in units of a usual call.
+/// \return the expected time of one more call there, in units of an average call.
 double cost(const ReplicaState& replica, const ReplicaPreference& preference, double usual_latency,
             bool is_avoided) {
   double relative = 1;
@@ -51,7 +51,7 @@
   return cost;
 }
 
-/// \return those of \p usable that are in the own region; none when no region is known.
+/// \return the replicas of \p usable in the own region; none if no region is known.
 std::vector<ReplicaPointer> in_own_region(const std::vector<ReplicaPointer>& usable,
                                           const ReplicaPreference& preference) {
   std::vector<ReplicaPointer> near;
@@ -63,7 +63,7 @@
   return near.size() == usable.size() ? std::vector<ReplicaPointer>() : near;
 }
 
-/// Lists of replicas are in order of id.
+/// Replica lists are sorted by id.
 std::vector<ReplicaPointer>::iterator place_of(std::vector<ReplicaPointer>& replicas,
                                                const ReplicaPointer& replica) {
   return std::lower_bound(replicas.begin(), replicas.end(), replica,
@@ -125,7 +125,7 @@
   const auto ejected = std::count_if(
       replicas.begin(), replicas.end(),
       [now](const ReplicaPointer& replica) { return replica->outliers.is_ejected(now); });
-  return static_cast<double>(ejected) <= kMostEjectedShare * static_cast<double>(replicas.size());
+  return static_cast<double>(ejected) <= kMaxEjectedShare * static_cast<double>(replicas.size());
 }
 
 void ReplicaChanges::add(ReplicaChanges later) {
@@ -184,15 +184,15 @@
   if (has_moved) {
     remove_from_service(*replica);
   }
-  // Within one life versions only rise, and what its streams and reports told
-  // may be newer than its listing.
+  // Within one incarnation versions only increase, and streams and reports may have announced a
+  // newer version than the listing.
   for (const auto& [model, version] : replica->record.versions) {
     core::WeightVersion& listed = record.versions[model];
     listed = std::max(listed, version);
   }
   record.cold_until = std::max(record.cold_until, replica->presumed_cold_until);
   if (record.cold_until > core::MonotonicTime()) {
-    said_cold_.insert(record.id);
+    reported_cold_.insert(record.id);
   }
   replica->record = std::move(record);
   replica->listed = true;
@@ -214,19 +214,19 @@
   remove_from_service(*replica);
   remove_from_versions(*replica);
   replicas_.erase(known);
-  said_cold_.erase(id);
-  gate_.cold_pace().forget(id);
+  reported_cold_.erase(id);
+  gate_.cold_rate_limiter().forget(id);
   return replica->record.address;
 }
 
 void ReplicaDirectory::presume_cold(const core::ZoneName& zone, core::MonotonicTime now) {
   for (const auto& [id, replica] : replicas_) {
     ReplicaRecord& record = replica->record;
-    const core::Duration length = gate_.cold_pace().start_of(record.service).length;
+    const core::Duration length = gate_.cold_rate_limiter().start_of(record.service).length;
     if (record.zone == zone && length > core::Duration(0)) {
       replica->presumed_cold_until = now + length;
       record.cold_until = std::max(record.cold_until, replica->presumed_cold_until);
-      said_cold_.insert(id);
+      reported_cold_.insert(id);
     }
   }
 }
@@ -236,9 +236,9 @@
     const ReplicaPointer replica = find(id);
     return replica && gate_.is_cold(replica->destination(), now);
   };
-  std::erase_if(said_cold_, [&](const core::ReplicaId& id) { return !is_cold(id); });
-  std::set<core::ReplicaId> cold = said_cold_;
-  for (const auto& [id, until] : gate_.cold_pace().presumed()) {
+  std::erase_if(reported_cold_, [&](const core::ReplicaId& id) { return !is_cold(id); });
+  std::set<core::ReplicaId> cold = reported_cold_;
+  for (const auto& [id, until] : gate_.cold_rate_limiter().presumed()) {
     if (is_cold(id)) {
       cold.insert(id);
     }
@@ -372,7 +372,7 @@
   const ReplicaPointer& first = usable[random.uniform(0, usable.size() - 1)];
   const ReplicaPointer& second = usable[random.uniform(0, usable.size() - 1)];
   ReplicaPointer better = cost_of(first) <= cost_of(second) ? first : second;
-  // With three regions both drawn are elsewhere in four of nine cases.
+  // With three regions, both drawn replicas are in other regions in four of nine cases.
   const std::vector<ReplicaPointer> near = in_own_region(usable, preference);
   for (int draw = 0; draw < kNearDraws && !near.empty(); ++draw) {
     const ReplicaPointer& drawn = near[random.uniform(0, near.size() - 1)];
@@ -386,7 +386,7 @@
   if (!is_avoided(*better)) {
     return better;
   }
-  // Both drawn are to be avoided: any sound one is better.
+  // Both drawn replicas should be avoided; any healthy one is better.
   const auto least = std::min_element(usable.begin(), usable.end(),
                                       [&](const ReplicaPointer& left, const ReplicaPointer& right) {
                                         return cost_of(left) < cost_of(right);
--- a/src/ingress/replica_window.hpp
+++ b/src/ingress/replica_window.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// Which replicas of a service are compared for one request. A service may have thousands, and a
-/// process that compares all of them for each request pays for the size of the fleet: 212 rating
-/// calls a second over 2,222 replicas, say. The better one of a few dozen is about as good as the
-/// best of all; and as each caller's window begins elsewhere and stays where it is, callers spread
-/// over the service and find their kept connections again. Plain code.
+/// Selects the replicas of a service that are compared for one request. A service may have
+/// thousands, and comparing all of them for each request would cost in proportion to the fleet, for
+/// example 212 rating calls per second over 2,222 replicas. The best of a few dozen is about as
+/// good as the best of all. As each caller has a fixed window with a different start, callers
+/// spread over the service and reuse their connections.
 #pragma once
 
 #include <cstddef>
@@ -14,21 +14,21 @@
 
 namespace stoneport::ingress {
 
-/// \return where the window of \p owner begins among \p count replicas in order of id. A replica
-/// that comes or goes moves it by one place at most.
+/// \return the start of the window of \p owner among \p count replicas sorted by id. Adding or
+/// removing a replica moves it by at most one position.
 std::size_t window_start(std::string_view owner, std::size_t count);
 
-/// Goes around \p replicas, which are in order of id, until enough are found.
-/// \param start where to begin
-/// \param enough how many with room are wanted; all are looked at where there are no more
+/// Walks around \p replicas, which are sorted by id, until enough are found.
+/// \param start first position
+/// \param enough number of replicas with capacity to find; if there are fewer, all are visited
 /// \param usable whether a replica may get the request at all
-/// \param has_room whether it would take the request now; those that would not are returned too,
-/// but make the window longer
+/// \param has_room whether it has capacity now; replicas without are returned too, but extend the
+/// window
 template <class Usable, class HasRoom>
 std::vector<ReplicaPointer> replicas_in_window(const std::vector<ReplicaPointer>& replicas,
                                                std::size_t start, std::size_t enough,
                                                const Usable& usable, const HasRoom& has_room) {
-  // All of them stay in order of id.
+  // Keep all of them sorted by id.
   const bool is_small = replicas.size() <= enough;
   const std::size_t first = is_small ? 0 : start;
   std::vector<ReplicaPointer> found;
--- a/src/ingress/route_regions.cpp
+++ b/src/ingress/route_regions.cpp
@@ -9,9 +9,9 @@
 using eligibility::Regions;
 using eligibility::ZoneRegions;
 
-/// Enough to find the cause. A configuration may have tens of thousands of pairs at fault, and
-/// the log takes one line for all.
-constexpr std::size_t kMostFaults = 16;
+/// Enough to find the cause. A configuration may have tens of thousands of invalid pairs, and the
+/// log gets one line for all.
+constexpr std::size_t kMaxFaults = 16;
 
 class FaultList {
  public:
@@ -28,7 +28,7 @@
       }
     }
   }
-  bool is_full() const { return texts_.size() >= kMostFaults; }
+  bool is_full() const { return texts_.size() >= kMaxFaults; }
   std::vector<std::string> take() { return std::move(texts_); }
 
  private:
--- a/src/ingress/route_regions.hpp
+++ b/src/ingress/route_regions.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which regions bind the requests of a configuration: what a route and a tenant allow, and
-/// which of that can never be served. Plain code.
+/// Region restrictions of a configuration: what its routes and tenants allow, and which
+/// combinations can never be served.
 #pragma once
 
 #include <string>
@@ -13,23 +13,24 @@
 
 namespace stoneport::ingress {
 
-/// \param tenant whose request it is; one that \p table does not know, or none, binds nothing
+/// \param tenant of the request; an empty tenant or one unknown to \p table adds no restriction
 eligibility::RegionBinding binding_of(const RouteTable& table, const Route& route,
                                       const core::TenantName& tenant);
 
-/// \return the regions that the routes of \p host allow, each taken by itself; empty when none
-/// of them binds its requests.
+/// \return the union of the regions that the routes of \p host allow; empty if none of them
+/// restricts its requests.
 eligibility::Regions regions_of_host(const RouteTable& table, std::string_view host);
 
-/// \return the regions that all routes of jobs allow which allow any; nothing binds when no
-/// such route does.
+/// \return the regions that all job routes with a region restriction allow; unrestricted without
+/// such routes.
 eligibility::RegionBinding binding_of_jobs(const RouteTable& table);
 
 /// \return whether \p binding allows a region that has a zone.
 bool is_known(const eligibility::RegionBinding& binding, const eligibility::ZoneRegions& zones);
 
-/// \return what of \p table names regions without a zone, and which pairs of a route and a tenant
-/// allow no region in common; 16 texts at most. Requests of such pairs are refused.
+/// \return descriptions of entries in \p table that name regions without a zone, and of pairs of
+/// route and tenant with no allowed region in common; at most 16. Requests of such pairs are
+/// refused.
 std::vector<std::string> region_faults(const RouteTable& table,
                                        const eligibility::ZoneRegions& zones);
 
--- a/src/ingress/route_table.hpp
+++ b/src/ingress/route_table.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The routes in force: which services may serve a host and path, how long a
-/// request may be held and how often it may be tried. An immutable snapshot.
+/// The active routes: which services may serve a host and path, how long a request may be held and
+/// how many attempts it gets. An immutable snapshot.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 #include "core/identifiers.hpp"
 #include "core/time.hpp"
-#include "eligibility/cold_pace.hpp"
+#include "eligibility/cold_rate_limiter.hpp"
 #include "eligibility/region_binding.hpp"
 #include "scaling/spot_plan.hpp"
 #include "tenants/tenant_table.hpp"
@@ -22,8 +22,8 @@
 enum class RouteKind {
   kRepeatable,  ///< a request may run more than once
   kOnce,        ///< a request runs at most once
-  kStream,      ///< a token stream; runs at most once unless it may be resumed
-  kRollout,     ///< takes batch jobs
+  kStream,      ///< a token stream; runs at most once unless it can be resumed
+  kRollout,     ///< accepts batch jobs
 };
 
 struct RouteTarget {
@@ -36,17 +36,17 @@
   std::string host;         ///< in lower case, without a port
   std::string path_prefix;  ///< starts and ends with a slash
   RouteKind kind = RouteKind::kOnce;
-  bool is_public = false;  ///< needs no key
+  bool is_public = false;  ///< requires no key
   bool resumable = false;
-  bool single_version = false;        ///< one weight version makes a whole text
-  core::Duration timeout{};           ///< longest time a request is held
-  core::Duration target_latency{};    ///< within which an answer earns its full credit
-  std::uint32_t most_attempts = 1;    ///< replicas that one request may be sent to
+  bool single_version = false;        ///< a text must come from a single weight version
+  core::Duration timeout{};           ///< maximum time for which a request is held
+  core::Duration target_latency{};    ///< latency within which an answer earns full credit
+  std::uint32_t max_attempts = 1;     ///< maximum number of replicas that one request is sent to
   std::uint32_t priority = 0;         ///< 0 is served first
   std::vector<RouteTarget> targets;   ///< never empty
-  core::Duration run_deadline{};      ///< rollout: all results are due after that
-  core::Duration queue_limit{};       ///< rollout: an item may be given up after that
-  eligibility::Regions regions = {};  ///< where its requests may be served; empty: anywhere
+  core::Duration run_deadline{};      ///< rollout: time within which all results are due
+  core::Duration queue_limit{};       ///< rollout: time after which an item may be given up
+  eligibility::Regions regions = {};  ///< regions where its requests may be served; empty for any
 };
 
 struct ClientLimits {
@@ -56,7 +56,7 @@
   core::Duration idle_timeout = std::chrono::seconds(15);
 };
 
-/// Services whose number of replicas may be ordered.
+/// Scaling limits of the services whose replica count may be changed.
 using ScalingByService = std::map<core::ServiceName, scaling::ScalingLimits>;
 
 class RouteTable {
@@ -72,13 +72,13 @@
   const tenants::TenantTable& tenants() const { return tenants_; }
   const ScalingByService& scaling() const { return scaling_; }
   const eligibility::ColdStarts& cold_starts() const { return cold_starts_; }
-  /// \param host as in a Host field; its port and case do not matter
-  /// \return the route of that host with the longest prefix of \p path, or null.
+  /// \param host as in a Host header; the port and case are ignored
+  /// \return the route of that host with the longest matching prefix of \p path, or null.
   const Route* find(std::string_view host, std::string_view path) const;
   /// \return whether \p host has a public route of \p kind.
   bool has_public_route(std::string_view host, RouteKind kind) const;
-  /// \return when a request of \p tenant on \p route is served, 0 first: the tenant's priority goes
-  /// before the route's.
+  /// \return the service rank of a request of \p tenant on \p route, 0 first: the tenant's priority
+  /// takes precedence over the route's.
   std::uint32_t rank_of(const Route& route, const core::TenantName& tenant) const;
   /// \return whether any route may send requests to \p service.
   bool uses(const core::ServiceName& service) const;
@@ -96,12 +96,12 @@
 /// \return \p host in lower case and without its port.
 std::string normalized_host(std::string_view host);
 
-/// Takes in route tables and hands out the newest; never goes back.
+/// Holds the newest route table; older tables are rejected.
 class RouteTableHolder {
  public:
-  /// \return whether \p table is newer than the one in force, and so is in force now.
+  /// \return whether \p table is newer than the active one and has replaced it.
   bool offer(std::shared_ptr<const RouteTable> table);
-  /// \return null before the first one.
+  /// \return null before the first table.
   const std::shared_ptr<const RouteTable>& current() const { return current_; }
 
  private:
--- a/src/ingress/shared_health.cpp
+++ b/src/ingress/shared_health.cpp
@@ -9,9 +9,9 @@
 namespace stoneport::ingress {
 namespace {
 
-/// In the order of the enumerations.
+/// In the order of the enumerators.
 constexpr std::array<std::string_view, 3> kKindNames = {"silent", "failing", "answered"};
-constexpr std::array<std::string_view, kHeardOutcomes> kOutcomeNames = {
+constexpr std::array<std::string_view, kRemoteFindingOutcomes> kOutcomeNames = {
     "avoided",   "doubted",      "cleared",      "stale",   "unknown_replica",
     "overruled", "reporter_cut", "most_avoided", "too_many"};
 
@@ -21,7 +21,7 @@
   return kKindNames.at(static_cast<std::size_t>(kind));
 }
 
-std::string_view to_string(HeardOutcome outcome) {
+std::string_view to_string(RemoteFindingOutcome outcome) {
   return kOutcomeNames.at(static_cast<std::size_t>(outcome));
 }
 
@@ -57,28 +57,29 @@
   clear(replica, now);
   if (was_avoided) {
     const HealthFinding finding{replica.record.id, FindingKind::kAnswered, now};
-    keep(self_, finding);
+    store(self_, finding);
     listener_(finding);
   }
 }
 
 void SharedHealth::note_own(ReplicaState& replica, FindingKind kind, core::MonotonicTime now) {
   const HealthFinding finding{replica.record.id, kind, now};
-  if (keep(self_, finding)) {
-    judge(replica, now);
+  if (store(self_, finding)) {
+    evaluate(replica, now);
   }
   listener_(finding);
 }
 
-bool SharedHealth::keep(const HealthReporter& reporter, const HealthFinding& finding) {
+bool SharedHealth::store(const HealthReporter& reporter, const HealthFinding& finding) {
   const bool is_known = reporters_.contains(reporter.node);
-  // There is always room for this process's own.
-  if (!is_known && reporters_.size() >= settings_.most_reporters && reporter.node != self_.node) {
+  // This process's own reporter entry is exempt from the limit.
+  if (!is_known && reporters_.size() >= settings_.max_reporters && reporter.node != self_.node) {
     return false;
   }
   Reporter& kept = reporters_[reporter.node];
   kept.zone = reporter.zone;
-  if (!kept.seen.contains(finding.replica) && kept.seen.size() >= settings_.most_of_reporter) {
+  if (!kept.seen.contains(finding.replica) &&
+      kept.seen.size() >= settings_.max_findings_per_reporter) {
     return false;
   }
   Seen& seen = kept.seen[finding.replica];
@@ -88,42 +89,45 @@
   return true;
 }
 
-HeardOutcome SharedHealth::hear(const HealthReporter& reporter, const HealthFinding& heard,
-                                core::MonotonicTime now) {
+RemoteFindingOutcome SharedHealth::apply_remote_finding(const HealthReporter& reporter,
+                                                        const HealthFinding& heard,
+                                                        core::MonotonicTime now) {
   HealthFinding finding = heard;
   finding.at = std::min(finding.at, now);
   if (now - finding.at >= settings_.validity) {
-    return HeardOutcome::kStale;
+    return RemoteFindingOutcome::kStale;
   }
   const ReplicaPointer replica = directory_.find(finding.replica);
   if (!replica) {
-    return HeardOutcome::kUnknownReplica;
+    return RemoteFindingOutcome::kUnknownReplica;
   }
   const core::ServiceName& service = replica->record.service;
-  const bool was_cut = is_cut(reporter.node, service, now);
-  if (!keep(reporter, finding)) {
-    return HeardOutcome::kTooMany;
+  const bool was_cut = is_unreliable_reporter(reporter.node, service, now);
+  if (!store(reporter, finding)) {
+    return RemoteFindingOutcome::kTooMany;
   }
   if (finding.kind == FindingKind::kAnswered) {
     clear(*replica, finding.at);
-    judge(*replica, now);
-    return HeardOutcome::kCleared;
+    evaluate(*replica, now);
+    return RemoteFindingOutcome::kCleared;
   }
-  if (is_cut(reporter.node, service, now)) {
+  if (is_unreliable_reporter(reporter.node, service, now)) {
     if (!was_cut) {
-      judge_all_of(reporter.node, now);
+      reevaluate_findings_of(reporter.node, now);
     }
-    return HeardOutcome::kReporterCut;
+    return RemoteFindingOutcome::kReporterUnreliable;
   }
-  return finding.at <= replica->last_success ? HeardOutcome::kOverruled : judge(*replica, now);
+  return finding.at <= replica->last_success ? RemoteFindingOutcome::kOverruled
+                                             : evaluate(*replica, now);
 }
 
 bool SharedHealth::is_valid(const Seen& seen, core::MonotonicTime now) const {
   return seen.kind != FindingKind::kAnswered && now - seen.at < settings_.validity;
 }
 
-bool SharedHealth::is_cut(const core::NodeId& reporter, const core::ServiceName& service,
-                          core::MonotonicTime now) const {
+bool SharedHealth::is_unreliable_reporter(const core::NodeId& reporter,
+                                          const core::ServiceName& service,
+                                          core::MonotonicTime now) const {
   const auto kept = reporters_.find(reporter);
   if (kept == reporters_.end()) {
     return false;
@@ -134,9 +138,9 @@
     bad += replica && replica->record.service == service ? 1 : 0;
   }
   const std::size_t listed = directory_.of_service(service).size();
-  // Of a single replica nothing is to be had instead, whoever is at fault.
+  // A service with a single bad replica offers no alternative, whatever the cause.
   return bad > 1 &&
-         static_cast<double>(bad) > settings_.most_of_service * static_cast<double>(listed);
+         static_cast<double>(bad) > settings_.max_share_of_service * static_cast<double>(listed);
 }
 
 SharedHealth::Evidence SharedHealth::evidence_of(const ReplicaState& replica,
@@ -151,7 +155,7 @@
     }
     const Seen& seen = found->second;
     const bool is_newer = seen.at > replica.last_success;
-    if (seen.is_refuted || !is_newer || is_cut(node, replica.record.service, now)) {
+    if (seen.is_refuted || !is_newer || is_unreliable_reporter(node, replica.record.service, now)) {
       continue;
     }
     ++evidence.reporters;
@@ -163,37 +167,38 @@
       evidence.kind = seen.kind;
     }
   }
-  // Those of one other zone may all be behind one cut.
+  // Reporters in a single other zone may all be behind the same network partition.
   evidence.is_confirmed =
-      evidence.reporters >= settings_.enough_reporters && (is_seen_from_near || zones.size() > 1);
+      evidence.reporters >= settings_.min_reporters && (is_seen_from_near || zones.size() > 1);
   return evidence;
 }
 
-HeardOutcome SharedHealth::judge(ReplicaState& replica, core::MonotonicTime now) {
+RemoteFindingOutcome SharedHealth::evaluate(ReplicaState& replica, core::MonotonicTime now) {
   const Evidence evidence = evidence_of(replica, now);
   if (evidence.reporters == 0) {
-    return HeardOutcome::kOverruled;
+    return RemoteFindingOutcome::kOverruled;
   }
-  // One failed trial is enough to go on with what several had found.
+  // One failed trial confirms earlier findings of several processes again.
   const bool is_avoided = now < replica.avoided_until;
   const auto since = avoided_since_.find(replica.record.id);
-  const bool is_to_be_tried =
-      since != avoided_since_.end() && now - since->second >= settings_.longest_avoidance;
-  if ((evidence.is_confirmed || is_avoided) && !is_to_be_tried) {
+  const bool is_trial_due =
+      since != avoided_since_.end() && now - since->second >= settings_.max_avoidance;
+  if ((evidence.is_confirmed || is_avoided) && !is_trial_due) {
     if (is_avoided || may_avoid_more(replica.record.service, now)) {
       return avoid(replica, evidence, now);
     }
     replica.doubted_until = evidence.latest + settings_.validity;
-    return HeardOutcome::kMostAvoided;
+    return RemoteFindingOutcome::kMostAvoided;
   }
-  if (!evidence.is_own_alone) {  // its own acts by itself, through the replica's suspicion
+  // this process's own findings take effect through the replica's suspicion
+  if (!evidence.is_own_alone) {
     replica.doubted_until = evidence.latest + settings_.validity;
   }
-  return HeardOutcome::kDoubted;
+  return RemoteFindingOutcome::kDoubted;
 }
 
-HeardOutcome SharedHealth::avoid(ReplicaState& replica, const Evidence& evidence,
-                                 core::MonotonicTime now) {
+RemoteFindingOutcome SharedHealth::avoid(ReplicaState& replica, const Evidence& evidence,
+                                         core::MonotonicTime now) {
   const bool was_avoided = now < replica.avoided_until;
   replica.avoided_until = evidence.latest + settings_.validity + draw_trial_wait();
   avoided_.insert(replica.record.id);
@@ -206,7 +211,7 @@
                         {"reporters", evidence.reporters},
                         {"for_ms", core::to_seconds(replica.avoided_until - now) * 1000}});
   }
-  return HeardOutcome::kAvoided;
+  return RemoteFindingOutcome::kAvoided;
 }
 
 bool SharedHealth::may_avoid_more(const core::ServiceName& service, core::MonotonicTime now) const {
@@ -215,7 +220,8 @@
         return is_avoided(id, now) && directory_.find(id)->record.service == service;
       });
   return static_cast<double>(avoided + 1) <=
-         settings_.most_of_service * static_cast<double>(directory_.of_service(service).size());
+         settings_.max_share_of_service *
+             static_cast<double>(directory_.of_service(service).size());
 }
 
 bool SharedHealth::is_avoided(const core::ReplicaId& id, core::MonotonicTime now) const {
@@ -223,13 +229,13 @@
   return replica && now < replica->avoided_until;
 }
 
-void SharedHealth::judge_all_of(const core::NodeId& reporter, core::MonotonicTime now) {
+void SharedHealth::reevaluate_findings_of(const core::NodeId& reporter, core::MonotonicTime now) {
   for (const auto& [id, seen] : reporters_[reporter].seen) {
     const ReplicaPointer replica = directory_.find(id);
     if (replica) {
       replica->avoided_until = {};
       replica->doubted_until = {};
-      judge(*replica, now);
+      evaluate(*replica, now);
     }
   }
 }
@@ -246,15 +252,15 @@
   }
 }
 
-/// Of n processes about one tries in the first round, two in the second, four in the third: a
-/// replica that is still silent costs few callers their wait, and one that answers is told of.
+/// Of n processes about one retries in the first round, two in the second and four in the third: a
+/// replica that is still silent delays few callers, and a recovered one is announced to all.
 core::Duration SharedHealth::draw_trial_wait() {
   const double place = random_.fraction() * static_cast<double>(processes_);
   const double round = place <= 1 ? 0 : std::ceil(std::log2(place));
   return settings_.trial_round * static_cast<int>(round);
 }
 
-bool SharedHealth::is_worth_telling(const HealthFinding& finding, core::MonotonicTime now) const {
+bool SharedHealth::should_report(const HealthFinding& finding, core::MonotonicTime now) const {
   const ReplicaPointer replica = directory_.find(finding.replica);
   if (!replica) {
     return false;
@@ -263,10 +269,10 @@
   if (!is_answer && finding.at <= replica->last_success) {
     return false;
   }
-  if (!is_answer && is_cut(self_.node, replica->record.service, now)) {
+  if (!is_answer && is_unreliable_reporter(self_.node, replica->record.service, now)) {
     return false;
   }
-  std::size_t told = 0;
+  std::size_t reported = 0;
   for (const auto& [node, reporter] : reporters_) {
     const auto found = reporter.seen.find(finding.replica);
     if (node == self_.node || found == reporter.seen.end()) {
@@ -274,9 +280,9 @@
     }
     const Seen& seen = found->second;
     const bool says_same = is_answer == (seen.kind == FindingKind::kAnswered);
-    told += says_same && !seen.is_refuted && now - seen.at < settings_.validity / 2 ? 1 : 0;
+    reported += says_same && !seen.is_refuted && now - seen.at < settings_.validity / 2 ? 1 : 0;
   }
-  return told < settings_.enough_told;
+  return reported < settings_.reports_to_suppress;
 }
 
 void SharedHealth::forget_old(core::MonotonicTime now) {
@@ -286,7 +292,8 @@
   }
   std::erase_if(reporters_, [](const auto& entry) { return entry.second.seen.empty(); });
   std::erase_if(avoided_, [&](const core::ReplicaId& id) { return !is_avoided(id, now); });
-  // Remembered for a finding's validity after its end, so that a trial comes first.
+  // Kept for one validity period after the avoidance, so that the replica is tried before it can be
+  // avoided again.
   std::erase_if(avoided_since_, [&](const auto& entry) {
     const ReplicaPointer replica = directory_.find(entry.first);
     return !replica || now >= replica->avoided_until + settings_.validity;
--- a/src/ingress/shared_health.hpp
+++ b/src/ingress/shared_health.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// What other processes have seen of replicas, beside what this one has: whether a replica that was
-/// found silent or failing elsewhere is to be avoided here, and when it is tried again. Plain code:
-/// it knows no network and no clock. Belongs to one thread.
+/// Shares health findings about replicas between processes: decides whether a replica that others
+/// found silent or failing is avoided here, and when it is tried again. Does no I/O and reads no
+/// clock. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -15,95 +15,97 @@
 namespace stoneport::ingress {
 
 enum class FindingKind : std::uint8_t {
-  kSilent,    ///< unreachable, or it did not answer in time
-  kFailing,   ///< ejected for what it failed
-  kAnswered,  ///< it served a request as it should, after it had been found otherwise
+  kSilent,    ///< unreachable, or no answer in time
+  kFailing,   ///< ejected because of failures
+  kAnswered,  ///< served a request successfully after an earlier finding
 };
 std::string_view to_string(FindingKind kind);
 
-/// What one process saw of one life of a replica.
+/// A finding of one process about one incarnation of a replica.
 struct HealthFinding {
   core::ReplicaId replica;
   FindingKind kind = FindingKind::kSilent;
   core::MonotonicTime at{};
 };
 
-/// The process that saw it.
+/// The process that reported a finding.
 struct HealthReporter {
   core::NodeId node;
   core::ZoneName zone;
 };
 
-/// What came of a finding that was heard.
-enum class HeardOutcome : std::uint8_t {
-  kAvoided,         ///< confirmed: the replica gets no work while others can
-  kDoubted,         ///< one process's word alone
+/// Result of processing a finding from another process.
+enum class RemoteFindingOutcome : std::uint8_t {
+  kAvoided,         ///< confirmed: the replica gets no work while other replicas can take it
+  kDoubted,         ///< reported by a single process
   kCleared,         ///< the replica answers again
-  kStale,           ///< too old when it came
-  kUnknownReplica,  ///< no such life is listed
-  kOverruled,       ///< it has served this process since
-  kReporterCut,     ///< its reporter finds most of a service so, which tells of the reporter
-  kMostAvoided,     ///< as many of its service as may be are avoided already
-  kTooMany,         ///< no room for one more
+  kStale,           ///< too old on arrival
+  kUnknownReplica,  ///< no such incarnation is listed
+  kOverruled,       ///< the replica has served this process since
+  /// The reporter finds most of a service bad, so that the reporter itself is likely at fault.
+  kReporterUnreliable,
+  kMostAvoided,  ///< the maximum share of the service is avoided already
+  kTooMany,      ///< no space for another finding
 };
-inline constexpr std::size_t kHeardOutcomes = 9;
-std::string_view to_string(HeardOutcome outcome);
+inline constexpr std::size_t kRemoteFindingOutcomes = 9;
+std::string_view to_string(RemoteFindingOutcome outcome);
 
 struct SharedHealthSettings {
-  /// How long a finding holds unless it is made again: as long as a process's own suspicion
+  /// Lifetime of a finding that is not renewed: the same as a process's own suspicion
   /// (ForwarderSettings::suspicion).
   core::Duration validity = std::chrono::seconds(2);
-  /// Processes that must have found the same before others act on it.
-  std::size_t enough_reporters = 2;
-  /// A process that has heard the same from this many others tells nobody: one more than is
-  /// needed, for a lost datagram.
-  std::size_t enough_told = 3;
-  /// Of a service's replicas. A process that finds more of them bad is cut off or slow itself; and
-  /// the rest could not carry the load of more.
-  double most_of_service = 0.5;
-  /// Between two rounds of trials after a finding has expired: longer than a caller waits for a
-  /// silent replica (ForwarderSettings::shortest_patience and three target latencies of 150 ms),
-  /// so that a trial of one round spares the next.
+  /// Number of processes with the same finding required before others act on it.
+  std::size_t min_reporters = 2;
+  /// A process that has received the same finding from this many others does not report it: one
+  /// more than required, in case a datagram is lost.
+  std::size_t reports_to_suppress = 3;
+  /// Share of a service's replicas. A process that finds more of them bad is partitioned or slow
+  /// itself, and the remaining replicas could not carry the load if more were avoided.
+  double max_share_of_service = 0.5;
+  /// Interval between rounds of trials after a finding has expired: longer than a caller waits for
+  /// a silent replica (ForwarderSettings::min_attempt_timeout and three target latencies of 150
+  /// ms), so that a trial in one round makes the next unnecessary.
   core::Duration trial_round = std::chrono::milliseconds(500);
-  /// A replica that was avoided for so long is tried, whatever others go on telling: longer than
+  /// A replica that was avoided for this long is tried regardless of further reports: longer than
   /// all rounds of trials among 100 processes.
-  core::Duration longest_avoidance = std::chrono::seconds(8);
-  /// Bounds on memory: reporters that are kept, and replicas of each.
-  std::size_t most_reporters = 256;
-  std::size_t most_of_reporter = 64;
+  core::Duration max_avoidance = std::chrono::seconds(8);
+  /// Memory limits: number of reporters, and of findings per reporter.
+  std::size_t max_reporters = 256;
+  std::size_t max_findings_per_reporter = 64;
 };
 
 class SharedHealth : public ReplicaObserver {
  public:
-  /// Told what this process has found, and what it should tell others unless they know.
+  /// Called with findings of this process that others may need to know.
   using Listener = std::function<void(const HealthFinding&)>;
 
-  /// \param directory outlives this; its replicas are told what to avoid
+  /// \param directory must outlive this object, which updates its replicas
   SharedHealth(ReplicaDirectory& directory, HealthReporter self, std::uint64_t seed,
                SharedHealthSettings settings = {});
   ~SharedHealth() override;
   SharedHealth(const SharedHealth&) = delete;
   SharedHealth& operator=(const SharedHealth&) = delete;
 
-  /// Takes part from now on: learns what this process finds.
+  /// Starts to observe the findings of this process.
   void start(Listener listener);
-  /// \param processes how many share the replicas, this one among them
+  /// \param processes number of processes that share the replicas, including this one
   void set_processes(std::size_t processes) { processes_ = std::max<std::size_t>(processes, 1); }
 
   void on_silent(ReplicaState& replica, core::MonotonicTime now) override;
   void on_ejected(ReplicaState& replica, core::MonotonicTime now) override;
   void on_success(ReplicaState& replica, core::MonotonicTime now) override;
 
-  /// Takes in what another process found.
-  HeardOutcome hear(const HealthReporter& reporter, const HealthFinding& finding,
-                    core::MonotonicTime now);
-  /// \return whether \p finding of this process is worth telling: not when enough others have said
-  /// so, nor when this process finds most of the service bad.
-  bool is_worth_telling(const HealthFinding& finding, core::MonotonicTime now) const;
+  /// Processes a finding from another process.
+  RemoteFindingOutcome apply_remote_finding(const HealthReporter& reporter,
+                                            const HealthFinding& finding, core::MonotonicTime now);
+  /// \return whether \p finding of this process should be sent to others: not if enough others have
+  /// reported the same, and not if this process finds most of the service bad.
+  bool should_report(const HealthFinding& finding, core::MonotonicTime now) const;
   void forget_old(core::MonotonicTime now);
-  /// \return how many replicas are avoided for what several processes found, as of forget_old().
+  /// \return number of replicas avoided because several processes reported them, as of
+  /// forget_old().
   std::size_t avoided() const { return avoided_.size(); }
-  /// \return how many findings are kept.
+  /// \return number of stored findings.
   std::size_t size() const;
 
  private:
@@ -116,9 +118,9 @@
     core::ZoneName zone;
     std::map<core::ReplicaId, Seen> seen;
   };
-  /// What is to be believed of one replica.
+  /// Combined findings about one replica.
   struct Evidence {
-    std::size_t reporters = 0;  ///< this process among them
+    std::size_t reporters = 0;  ///< including this process
     bool is_own_alone = true;
     bool is_confirmed = false;
     FindingKind kind = FindingKind::kSilent;
@@ -126,23 +128,24 @@
   };
 
   void note_own(ReplicaState& replica, FindingKind kind, core::MonotonicTime now);
-  /// \return whether there is room for it.
-  bool keep(const HealthReporter& reporter, const HealthFinding& finding);
+  /// \return whether there was space for the finding.
+  bool store(const HealthReporter& reporter, const HealthFinding& finding);
   bool is_valid(const Seen& seen, core::MonotonicTime now) const;
-  /// \return whether \p reporter finds more of \p service bad than can be.
-  bool is_cut(const core::NodeId& reporter, const core::ServiceName& service,
-              core::MonotonicTime now) const;
+  /// \return whether \p reporter finds an implausibly large share of \p service bad.
+  bool is_unreliable_reporter(const core::NodeId& reporter, const core::ServiceName& service,
+                              core::MonotonicTime now) const;
   Evidence evidence_of(const ReplicaState& replica, core::MonotonicTime now) const;
-  HeardOutcome judge(ReplicaState& replica, core::MonotonicTime now);
-  HeardOutcome avoid(ReplicaState& replica, const Evidence& evidence, core::MonotonicTime now);
-  /// \return whether one more replica of \p service may be avoided.
+  RemoteFindingOutcome evaluate(ReplicaState& replica, core::MonotonicTime now);
+  RemoteFindingOutcome avoid(ReplicaState& replica, const Evidence& evidence,
+                             core::MonotonicTime now);
+  /// \return whether another replica of \p service may be avoided.
   bool may_avoid_more(const core::ServiceName& service, core::MonotonicTime now) const;
   bool is_avoided(const core::ReplicaId& id, core::MonotonicTime now) const;
-  /// Judges again all that \p reporter has told of.
-  void judge_all_of(const core::NodeId& reporter, core::MonotonicTime now);
-  /// The replica answered at \p until: what was found before counts no more.
+  /// Reevaluates all replicas that \p reporter has findings about.
+  void reevaluate_findings_of(const core::NodeId& reporter, core::MonotonicTime now);
+  /// Invalidates findings up to \p until, when the replica answered.
   void clear(ReplicaState& replica, core::MonotonicTime until);
-  /// \return how much longer than the finding's validity this process waits before it tries.
+  /// \return how long after a finding's expiry this process waits before it tries the replica.
   core::Duration draw_trial_wait();
 
   ReplicaDirectory& directory_;
@@ -151,9 +154,9 @@
   SharedHealthSettings settings_;
   std::size_t processes_ = 1;
   Listener listener_;
-  std::map<core::NodeId, Reporter> reporters_;  ///< this process among them
+  std::map<core::NodeId, Reporter> reporters_;  ///< including this process
   std::set<core::ReplicaId> avoided_;
-  /// When the avoidance of a replica began; kept until it has been tried.
+  /// Time at which the avoidance of a replica began; kept until the replica has been tried.
   std::map<core::ReplicaId, core::MonotonicTime> avoided_since_;
 };
 
--- a/src/ingress/suspect_runs.cpp
+++ b/src/ingress/suspect_runs.cpp
@@ -11,8 +11,9 @@
   return running_.contains(content) || runs_elsewhere;
 }
 
-ReplicaPointer SuspectRuns::keep(const core::RequestFingerprint& content,
-                                 const std::vector<ReplicaPointer>& candidates, bool is_alone) {
+ReplicaPointer SuspectRuns::try_reserve(const core::RequestFingerprint& content,
+                                        const std::vector<ReplicaPointer>& candidates,
+                                        bool is_alone) {
   const auto known = reservations_.find(content);
   if (known != reservations_.end()) {
     Reservation& reservation = known->second;
@@ -22,7 +23,7 @@
         });
     const ReplicaPointer replica = found == candidates.end() ? nullptr : *found;
     if (!is_void(reservation, replica, is_alone)) {
-      ++reservation.looks;
+      ++reservation.checks;
       renew(reservation);
       return is_settled(reservation, *replica) ? replica : nullptr;
     }
@@ -37,8 +38,9 @@
 
 bool SuspectRuns::is_settled(const Reservation& reservation, const ReplicaState& replica) const {
   const bool is_alone = reservation.run.is_alone;
-  const core::Duration settle = is_alone ? settings_.alone_settle : settings_.apart_settle;
-  return time_.now() >= reservation.since + settle && reservation.looks >= settings_.fewest_looks &&
+  const core::Duration delay =
+      is_alone ? settings_.alone_reservation_delay : settings_.apart_reservation_delay;
+  return time_.now() >= reservation.since + delay && reservation.checks >= settings_.min_checks &&
          (!is_alone || replica.in_flight == 0);
 }
 
@@ -79,8 +81,8 @@
          });
 }
 
-bool SuspectRuns::goes_before(const RemoteRun& remote, const SuspectRun& run,
-                              const core::ServiceName& service) const {
+bool SuspectRuns::has_precedence(const RemoteRun& remote, const SuspectRun& run,
+                                 const core::ServiceName& service) const {
   const ReplicaPointer replica = directory_.find(remote.run.replica);
   const bool is_of_service = replica && replica->record.service == service;
   const bool are_both_alone = run.is_alone && remote.run.is_alone;
@@ -92,15 +94,15 @@
 }
 
 bool SuspectRuns::must_give_way(const SuspectRun& run, const core::ServiceName& service) const {
-  // One replica of a service at a time is kept for one that runs alone: the others serve on.
-  const auto keeps_one_already = [&](const auto& entry) {
+  // At most one replica of a service is reserved for an exclusive run; the others keep serving.
+  const auto has_exclusive_reservation = [&](const auto& entry) {
     const Reservation& other = entry.second;
     return run.is_alone && other.run.is_alone && other.service == service &&
            other.run.content < run.content;
   };
-  return std::any_of(reservations_.begin(), reservations_.end(), keeps_one_already) ||
+  return std::any_of(reservations_.begin(), reservations_.end(), has_exclusive_reservation) ||
          std::any_of(remote_runs_.begin(), remote_runs_.end(),
-                     [&](const auto& entry) { return goes_before(entry.second, run, service); });
+                     [&](const auto& entry) { return has_precedence(entry.second, run, service); });
 }
 
 void SuspectRuns::reserve(const SuspectRun& run, const core::ServiceName& service) {
@@ -108,13 +110,13 @@
   reservation.run = run;
   reservation.service = service;
   reservation.since = time_.now();
-  reservation.looks = 0;
+  reservation.checks = 0;
   renew(reservation);
   listener_(run, false);
 }
 
 void SuspectRuns::renew(Reservation& reservation) {
-  reservation.until = time_.now() + settings_.notice_length;
+  reservation.until = time_.now() + settings_.notice_lifetime;
   if (reservation.run.is_alone) {
     directory_.gate().reservations().reserve(reservation.run.replica, reservation.until);
   }
@@ -133,7 +135,7 @@
   reservations_.erase(run.content);
   running_[run.content] = run;
   if (run.is_alone) {
-    directory_.gate().reservations().reserve(run.replica, time_.now() + settings_.notice_length);
+    directory_.gate().reservations().reserve(run.replica, time_.now() + settings_.notice_lifetime);
   }
   listener_(run, false);
 }
@@ -146,10 +148,11 @@
   listener_(run, true);
 }
 
-void SuspectRuns::hear(const core::NodeId& holder, const SuspectRun& run, bool is_over) {
+void SuspectRuns::apply_remote_run(const core::NodeId& holder, const SuspectRun& run,
+                                   bool is_over) {
   const auto known = remote_runs_.find(run.content);
   if (!is_over) {
-    const core::MonotonicTime until = time_.now() + settings_.notice_length;
+    const core::MonotonicTime until = time_.now() + settings_.notice_lifetime;
     remote_runs_[run.content] = {run, holder, until};
     if (run.is_alone) {
       directory_.gate().reservations().reserve(run.replica, until);
@@ -181,10 +184,10 @@
   std::erase_if(remote_runs_, [now](const auto& entry) { return entry.second.until <= now; });
   std::erase_if(reservations_, [now](const auto& entry) { return entry.second.until <= now; });
   directory_.gate().reservations().forget_old(now);
-  // A run that goes on keeps its replica.
+  // An ongoing run keeps its replica.
   for (const auto& [content, run] : running_) {
     if (run.is_alone) {
-      directory_.gate().reservations().reserve(run.replica, now + settings_.notice_length);
+      directory_.gate().reservations().reserve(run.replica, now + settings_.notice_lifetime);
     }
   }
 }
--- a/src/ingress/suspect_runs.hpp
+++ b/src/ingress/suspect_runs.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Where requests under which replicas ended run now, here and in other processes, and the replicas
-/// that are kept for them, so that two of them do not meet. A kept replica may be used once the
-/// other processes have had time to say that they keep it too; of two the one whose name sorts
-/// first goes. Plain state but for the directory that it looks at; belongs to one thread.
+/// Tracks where crash suspects currently run, in this and in other processes, and which replicas
+/// are reserved for them, so that no two suspects share a replica. A reserved replica may be used
+/// once other processes have had time to announce a conflicting reservation; of two the one with
+/// the smaller name takes precedence. Does no I/O; reads the replica directory. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -13,52 +13,53 @@
 
 namespace stoneport::ingress {
 
-/// A suspect that runs, or for which a replica is kept; what other processes are told of it.
+/// A suspect that runs or has a replica reserved, as announced to other processes.
 struct SuspectRun {
   core::RequestFingerprint content;
   core::ReplicaId replica;
-  bool is_alone = false;   ///< nothing else may go to the replica meanwhile
-  bool has_begun = false;  ///< else the replica is only kept for it
+  bool is_alone = false;   ///< the replica must run nothing else meanwhile
+  bool has_begun = false;  ///< otherwise the replica is only reserved
 };
 
 struct SuspectRunSettings {
-  /// From a reservation until its request runs alone: other processes hear of it within some ms,
-  /// and what they have on the replica then is mostly answered within 100 ms.
-  core::Duration alone_settle = std::chrono::milliseconds(100);
-  /// The same for a request that only keeps apart from other suspects: until those that start at
-  /// the same moment elsewhere are heard of. The connections of a replica that ends break
-  /// everywhere within a millisecond, so that all of its requests look for another one at once.
-  core::Duration apart_settle = std::chrono::milliseconds(10);
-  /// Times that a reservation is looked at before its request runs: a process that was held up
-  /// reads in between what others have sent it meanwhile.
-  std::uint32_t fewest_looks = 2;
-  /// A reservation or run that is not renewed for so long is over.
-  core::Duration notice_length = std::chrono::milliseconds(600);
+  /// Time from a reservation until its request may run alone: other processes receive the
+  /// announcement within a few ms, and most of their requests on the replica are answered within
+  /// 100 ms.
+  core::Duration alone_reservation_delay = std::chrono::milliseconds(100);
+  /// The same delay for a request that only has to avoid other suspects: until reservations made at
+  /// the same moment elsewhere have been received. When a replica crashes, its connections break
+  /// everywhere within a millisecond, so that all its requests look for another one at once.
+  core::Duration apart_reservation_delay = std::chrono::milliseconds(10);
+  /// Number of checks of a reservation before its request runs: a process that was delayed reads
+  /// pending messages from others between checks.
+  std::uint32_t min_checks = 2;
+  /// Lifetime of an announced reservation or run that is not renewed.
+  core::Duration notice_lifetime = std::chrono::milliseconds(600);
 };
 
 class SuspectRuns {
  public:
   using Listener = std::function<void(const SuspectRun&, bool is_over)>;
 
-  /// \param listener told of each run and reservation of this process that begins or is over
+  /// \param listener called for each run and reservation of this process that starts or finishes
   SuspectRuns(ReplicaDirectory& directory, const core::TimeSource& time,
               SuspectRunSettings settings, Listener listener)
       : directory_(directory), time_(time), settings_(settings), listener_(std::move(listener)) {}
 
-  /// \param self breaks ties between processes that keep the same replica at the same moment
+  /// \param self decides ties between processes that reserve the same replica at the same time
   void set_self(core::NodeId self) { self_ = std::move(self); }
-  /// \return whether \p content runs in any process now.
+  /// \return whether \p content is running in any process.
   bool runs_somewhere(const core::RequestFingerprint& content) const;
-  /// Keeps one of \p candidates for \p content. To be called again until it has settled, which also
-  /// renews it.
-  /// \return the replica, once \p content may run there; null while it must wait.
-  ReplicaPointer keep(const core::RequestFingerprint& content,
-                      const std::vector<ReplicaPointer>& candidates, bool is_alone);
+  /// Reserves one of \p candidates for \p content. Call repeatedly until the reservation is usable;
+  /// each call renews it.
+  /// \return the replica once \p content may run there; null while it must wait.
+  ReplicaPointer try_reserve(const core::RequestFingerprint& content,
+                             const std::vector<ReplicaPointer>& candidates, bool is_alone);
   void begin(const SuspectRun& run);
   void end(const SuspectRun& run);
-  /// Takes in what \p holder tells.
-  void hear(const core::NodeId& holder, const SuspectRun& run, bool is_over);
-  /// \return the runs and reservations of this process, to be told again.
+  /// Applies an announcement of \p holder.
+  void apply_remote_run(const core::NodeId& holder, const SuspectRun& run, bool is_over);
+  /// \return the runs and reservations of this process, for periodic announcement.
   std::vector<SuspectRun> own() const;
   void forget_old();
 
@@ -68,7 +69,7 @@
     core::ServiceName service;
     core::MonotonicTime since;
     core::MonotonicTime until;
-    std::uint32_t looks = 0;  ///< since it was made
+    std::uint32_t checks = 0;  ///< since the reservation was made
   };
   struct RemoteRun {
     SuspectRun run;
@@ -78,18 +79,17 @@
 
   /// \return whether the request of \p reservation may run on \p replica now.
   bool is_settled(const Reservation& reservation, const ReplicaState& replica) const;
-  /// \return whether \p reservation is of no use any more; \p replica is null when it may not be
-  /// used.
+  /// \return whether \p reservation is no longer valid; \p replica is null if it may not be used.
   bool is_void(const Reservation& reservation, const ReplicaPointer& replica, bool is_alone) const;
-  /// \return the idlest of \p candidates that is free for \p content, or null.
+  /// \return the least loaded of \p candidates that is available for \p content, or null.
   ReplicaPointer free_replica(const core::RequestFingerprint& content,
                               std::vector<ReplicaPointer> candidates, bool is_alone) const;
-  /// \return whether \p replica runs, or is kept for, another suspect than \p content.
+  /// \return whether \p replica runs, or is reserved for, a suspect other than \p content.
   bool is_occupied(const core::RequestFingerprint& content, const ReplicaState& replica) const;
-  /// \return whether something else keeps what \p run needs, and goes first.
+  /// \return whether a conflicting reservation or run takes precedence over \p run.
   bool must_give_way(const SuspectRun& run, const core::ServiceName& service) const;
-  bool goes_before(const RemoteRun& remote, const SuspectRun& run,
-                   const core::ServiceName& service) const;
+  bool has_precedence(const RemoteRun& remote, const SuspectRun& run,
+                      const core::ServiceName& service) const;
   void reserve(const SuspectRun& run, const core::ServiceName& service);
   void renew(Reservation& reservation);
   void drop(const core::RequestFingerprint& content);
@@ -99,8 +99,9 @@
   SuspectRunSettings settings_;
   Listener listener_;
   core::NodeId self_;
-  std::map<core::RequestFingerprint, SuspectRun> running_;        ///< of this process
-  std::map<core::RequestFingerprint, Reservation> reservations_;  ///< not running yet
+  std::map<core::RequestFingerprint, SuspectRun> running_;  ///< runs of this process
+  /// Reservations of this process that do not run yet.
+  std::map<core::RequestFingerprint, Reservation> reservations_;
   std::map<core::RequestFingerprint, RemoteRun> remote_runs_;
 };
 
--- a/src/jobs/item_dispatcher.cpp
+++ b/src/jobs/item_dispatcher.cpp
@@ -45,10 +45,10 @@
   return found == work_.end() ? 0 : found->second.running;
 }
 
-std::optional<eligibility::Objection> ItemDispatcher::objection(
+std::optional<eligibility::BlockReason> ItemDispatcher::block_reason(
     const OpenJob& job, const ingress::ReplicaState& replica, core::MonotonicTime now) const {
   const eligibility::Origin origin{eligibility::Sender::kCoordinator, &job.binding};
-  return inputs_.directory.gate().objection(replica.destination(), origin, now);
+  return inputs_.directory.gate().block_reason(replica.destination(), origin, now);
 }
 
 bool ItemDispatcher::is_cold(const ingress::ReplicaState& replica, core::MonotonicTime now) const {
@@ -64,9 +64,9 @@
     return false;
   }
   // A cold or reserved one takes texts again in a moment: it counts, as closed.
-  const auto bar = objection(job, replica, now);
-  return !bar || bar == eligibility::Objection::kColdPace ||
-         bar == eligibility::Objection::kReserved;
+  const auto bar = block_reason(job, replica, now);
+  return !bar || bar == eligibility::BlockReason::kColdRateLimit ||
+         bar == eligibility::BlockReason::kReserved;
 }
 
 bool ItemDispatcher::has_room(const ingress::ReplicaState& replica, core::MonotonicTime now) const {
@@ -124,7 +124,7 @@
     const bool is_ejected = avoids_ejected && replica->outliers.is_ejected(now);
     load.closed = now < work.closed_until || replica->is_suspect(now) || is_ejected ||
                   inputs_.is_loading(load.id, job.job.model) ||
-                  objection(job, *replica, now).has_value();
+                  block_reason(job, *replica, now).has_value();
     loads.push_back(load);
   }
   return loads;
@@ -260,9 +260,9 @@
 }
 
 /// A replica may fail whatever it runs, so it takes several to condemn an item.
-bool ItemDispatcher::has_failed_too_often(const ItemProgress& item, std::uint32_t most_attempts) {
-  return item.failed_at.size() >= most_attempts ||
-         item.failed_answers >= most_attempts * kMostRoundsOfFailures;
+bool ItemDispatcher::has_failed_too_often(const ItemProgress& item, std::uint32_t max_attempts) {
+  return item.failed_at.size() >= max_attempts ||
+         item.failed_answers >= max_attempts * kMostRoundsOfFailures;
 }
 
 void ItemDispatcher::requeue(const RunPointer& run, const AttemptEnd& end) {
@@ -288,7 +288,7 @@
     item.failed_at.insert(run->replica->record.id);
   }
   const bool has_failed = end.kind == AttemptEndKind::kImpossible ||
-                          has_failed_too_often(item, run->job->route->most_attempts);
+                          has_failed_too_often(item, run->job->route->max_attempts);
   if (has_failed) {
     listener_.on_failed(run->job, run->item);
   }
--- a/src/jobs/item_dispatcher.hpp
+++ b/src/jobs/item_dispatcher.hpp
@@ -148,9 +148,9 @@
   void note_decision(const StepDecision& decision);
   static bool has_work(const OpenJob& job, core::MonotonicTime now);
   /// \return why the gate lets no text of \p job go to \p replica now; nothing when it may.
-  std::optional<eligibility::Objection> objection(const OpenJob& job,
-                                                  const ingress::ReplicaState& replica,
-                                                  core::MonotonicTime now) const;
+  std::optional<eligibility::BlockReason> block_reason(const OpenJob& job,
+                                                       const ingress::ReplicaState& replica,
+                                                       core::MonotonicTime now) const;
   bool is_cold(const ingress::ReplicaState& replica, core::MonotonicTime now) const;
   JobView view_of(const OpenJobPointer& job, core::MonotonicTime now);
   /// Places the queued items of \p views, which have one priority.
@@ -192,7 +192,7 @@
   void on_event(Run& run);
   void on_end(const RunPointer& run, const AttemptEnd& end);
   void note_whole(const Run& run);
-  static bool has_failed_too_often(const ItemProgress& item, std::uint32_t most_attempts);
+  static bool has_failed_too_often(const ItemProgress& item, std::uint32_t max_attempts);
   void requeue(const RunPointer& run, const AttemptEnd& end);
   void note_replica(const Run& run, const AttemptEnd& end);
   void move_silent(core::MonotonicTime now);
--- a/src/jobs/item_dispatcher_placing.cpp
+++ b/src/jobs/item_dispatcher_placing.cpp
@@ -101,7 +101,7 @@
   if (!chosen) {
     const bool is_held = std::any_of(
         view.replicas.begin(), view.replicas.end(), [&](const ingress::ReplicaPointer& replica) {
-          return objection(*view.job, *replica, now) == eligibility::Objection::kColdPace;
+          return block_reason(*view.job, *replica, now) == eligibility::BlockReason::kColdRateLimit;
         });
     if (is_held) {
       meters_->held_for_cold.Increment();
@@ -144,7 +144,7 @@
       ++load.running;
       load.long_running += is_long ? 1 : 0;
       load.event_gap = speeds_.event_gap(load.id, {load.running + 1, load.slots}, now);
-      load.closed |= objection(*view.job, *view.replicas[index], now).has_value();
+      load.closed |= block_reason(*view.job, *view.replicas[index], now).has_value();
     }
   }
 }
--- a/src/jobs/item_dispatcher_suspects.cpp
+++ b/src/jobs/item_dispatcher_suspects.cpp
@@ -26,8 +26,9 @@
 void ItemDispatcher::place_suspect(JobView& view, std::vector<JobView>& views,
                                    const TextToPlace& text, core::MonotonicTime now) {
   const std::size_t index = view.job->start_order[view.next];
-  const ingress::Admission admission = inputs_.guard.admit(
-      content_of(*view.job, index), *view.job->route, view.replicas, ingress::Spread::kTogether);
+  const ingress::Admission admission =
+      inputs_.guard.admit(content_of(*view.job, index), *view.job->route, view.replicas,
+                          ingress::SuspectSeparation::kTogether);
   if (admission.kind == ingress::AdmissionKind::kHeld) {
     view.job->items[index].not_before = now + kHeldLook;
     return;
@@ -57,8 +58,8 @@
   }
   const bool may_have_ended = end.kind == AttemptEndKind::kBroken && !end.unreachable;
   if (may_have_ended && !run->is_cut) {
-    co_await self->inputs_.guard.settle_broken(content_of(job, run->item),
-                                               job.job.items[run->item].id, run->replica);
+    co_await self->inputs_.guard.resolve_broken_call(content_of(job, run->item),
+                                                     job.job.items[run->item].id, run->replica);
   }
   run->suspect_run.reset();
 }
--- a/src/jobs/rating_share.hpp
+++ b/src/jobs/rating_share.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "core/time.hpp"
-#include "ingress/load_ledger.hpp"
+#include "ingress/load_statistics.hpp"
 
 namespace stoneport::jobs {
 
--- a/src/jobs/scorer.cpp
+++ b/src/jobs/scorer.cpp
@@ -51,14 +51,14 @@
   return known_.emplace(route.name, std::move(fresh)).first->second;
 }
 
-routing::Elsewhere Scorer::look_elsewhere(const Text& text, const ingress::Route& route) const {
+routing::OtherReplicas Scorer::look_elsewhere(const Text& text, const ingress::Route& route) const {
   const core::MonotonicTime now = time_.now();
   const core::MonotonicTime sent_at = text.attempts.back()->sent_at;
   const auto has_call = [&text](const ingress::ReplicaPointer& replica) {
     return std::any_of(text.attempts.begin(), text.attempts.end(),
                        [&](const AttemptPointer& attempt) { return attempt->replica == replica; });
   };
-  routing::Elsewhere found;
+  routing::OtherReplicas found;
   for (const ingress::RouteTarget& target : route.targets) {
     for (const ingress::ReplicaPointer& replica : directory_.of_service(target.service)) {
       if (!takes_calls(*replica) || replica->is_suspect(now) || has_call(replica)) {
@@ -86,7 +86,7 @@
   }
   // One replica a call: the answers of failure are counted here.
   ingress::Route single = *in_force.route;
-  single.most_attempts = 1;
+  single.max_attempts = 1;
   ingress::ForwardedRequest request;
   request.table = in_force.table;
   request.route = &single;
@@ -204,7 +204,7 @@
   }
   const RouteInForce in_force = route_of(text.call);
   if (in_force.route != nullptr &&
-      text.failures >= in_force.route->most_attempts * kMostRoundsOfFailures) {
+      text.failures >= in_force.route->max_attempts * kMostRoundsOfFailures) {
     text.end = Score{ScoreEnd::kFailed, ""};
   }
 }
@@ -243,10 +243,11 @@
   const core::MonotonicTime now = time_.now();
   const core::Duration taken = now - attempt.sent_at;
   if (attempt.replica->is_suspect(now)) {
-    return taken >= route.times.patience_with_suspect(bounds, text.given_up);
+    return taken >= route.times.suspect_silence_timeout(bounds, text.given_up);
   }
   return text.attempts.size() == kMostCallsOfText &&
-         taken >= route.times.patience(bounds, text.given_up) && route.second_calls.try_retry(now);
+         taken >= route.times.silence_timeout(bounds, text.given_up) &&
+         route.second_calls.try_retry(now);
 }
 
 void Scorer::look_after(const TextPointer& text) {
@@ -258,16 +259,16 @@
   const core::MonotonicTime now = time_.now();
   const routing::CallBounds bounds{in_force.route->timeout, in_force.route->target_latency};
   KnownRoute& route = known(*in_force.route);
-  routing::CallsOut calls;
+  routing::OutstandingCalls calls;
   calls.newest_taken = now - newest->sent_at;
   calls.usual = route.times.usual(bounds);
   calls.newest_is_silent = is_silent(*newest);
   calls.out = text->attempts.size();
-  calls.most = kMostCallsOfText;
+  calls.max_calls = kMostCallsOfText;
   if (!routing::is_overdue(calls)) {
     return;
   }
-  const routing::Elsewhere elsewhere = look_elsewhere(*text, *in_force.route);
+  const routing::OtherReplicas elsewhere = look_elsewhere(*text, *in_force.route);
   if (!elsewhere.is_sound) {
     return;
   }
@@ -282,7 +283,7 @@
   if (!is_due || !route.second_calls.try_retry(now)) {
     return;
   }
-  if (next == routing::NextCall::kBeside) {
+  if (next == routing::NextCall::kSendSecond) {
     meters_->second_calls.Increment();
     begin(text, true);
   } else {
--- a/src/jobs/scorer.hpp
+++ b/src/jobs/scorer.hpp
@@ -128,7 +128,7 @@
   bool is_its_turn(const Text& text) const;
   /// \return what replicas that \p text has no call at could do for it, with the places that rating
   /// calls may take.
-  routing::Elsewhere look_elsewhere(const Text& text, const ingress::Route& route) const;
+  routing::OtherReplicas look_elsewhere(const Text& text, const ingress::Route& route) const;
   /// \return whether the replica has answered nothing since \p attempt was sent there.
   bool is_silent(const Attempt& attempt) const;
 
--- a/src/jobs/scorer_shares.cpp
+++ b/src/jobs/scorer_shares.cpp
@@ -14,8 +14,8 @@
   const core::MonotonicTime now = time_.now();
   return std::any_of(
       route.targets.begin(), route.targets.end(), [&](const ingress::RouteTarget& target) {
-        const ingress::LoadLedger& ledger = forwarder_.ledger();
-        return is_crowded(ledger.recent_of(target.service, now), settings_.rating_share);
+        const ingress::LoadStatistics& load_statistics = forwarder_.load_statistics();
+        return is_crowded(load_statistics.recent_of(target.service, now), settings_.rating_share);
       });
 }
 
--- a/src/jobs/tenure.cpp
+++ b/src/jobs/tenure.cpp
@@ -65,8 +65,8 @@
 void Tenure::start() {
   make_parts();
   last_tick_ = inputs_.time.now();
-  inputs_.directory.gate().cold_pace().begin_term(last_tick_ + settings_.order_confirmation +
-                                                  kLastSends);
+  inputs_.directory.gate().cold_rate_limiter().begin_term(
+      last_tick_ + settings_.order_confirmation + kLastSends);
   writer_->start();
   loader_->start();
   for (const TermDutyPointer& duty : duties_) {
@@ -426,8 +426,8 @@
   const bool has_ended = over_ || handing_over_;
   const core::MonotonicTime sure_until =
       std::min(keeper_.confirmed_at() + settings_.order_confirmation, last_tick_ + kLongestGap);
-  inputs_.directory.gate().cold_pace().keep_sure_until(has_ended ? core::MonotonicTime()
-                                                                 : sure_until);
+  inputs_.directory.gate().cold_rate_limiter().set_term_confirmed_until(
+      has_ended ? core::MonotonicTime() : sure_until);
 }
 
 bool Tenure::may_order() const {
--- a/src/node/health_exchange.cpp
+++ b/src/node/health_exchange.cpp
@@ -57,8 +57,8 @@
         unknown_reporter(heard(metrics, "unknown_reporter")),
         avoided(metrics.gauge("stoneport_health_replicas_avoided",
                               "Replicas that get no work for what several processes found")) {
-    for (std::size_t outcome = 0; outcome < ingress::kHeardOutcomes; ++outcome) {
-      const std::string_view name = to_string(static_cast<ingress::HeardOutcome>(outcome));
+    for (std::size_t outcome = 0; outcome < ingress::kRemoteFindingOutcomes; ++outcome) {
+      const std::string_view name = to_string(static_cast<ingress::RemoteFindingOutcome>(outcome));
       outcomes[outcome] = &heard(metrics, std::string(name));
     }
   }
@@ -73,7 +73,7 @@
   prometheus::Counter& left_out;
   prometheus::Counter& unknown_reporter;
   prometheus::Gauge& avoided;
-  std::array<prometheus::Counter*, ingress::kHeardOutcomes> outcomes{};
+  std::array<prometheus::Counter*, ingress::kRemoteFindingOutcomes> outcomes{};
 };
 
 HealthExchange::HealthExchange(asio::any_io_executor executor,
@@ -141,7 +141,7 @@
   std::vector<wire::HealthReport> reports;
   std::size_t size = 0;
   for (const auto& [replica, finding] : news_) {
-    if (!health_.is_worth_telling(finding, now)) {
+    if (!health_.should_report(finding, now)) {
       meters_->kept_quiet.Increment();
       continue;
     }
@@ -193,7 +193,8 @@
   const ingress::HealthReporter reporter{message.sender, sender->second.zone};
   const core::MonotonicTime now = time_.now();
   for (const wire::HealthFinding& notice : report->findings) {
-    const ingress::HeardOutcome outcome = health_.hear(reporter, finding_of(notice, now), now);
+    const ingress::RemoteFindingOutcome outcome =
+        health_.apply_remote_finding(reporter, finding_of(notice, now), now);
     meters_->outcomes.at(static_cast<std::size_t>(outcome))->Increment();
   }
 }
--- a/src/node/load_metrics.cpp
+++ b/src/node/load_metrics.cpp
@@ -93,9 +93,9 @@
   series.longest_wait->Set(core::to_seconds(entry.recent.longest_wait));
 }
 
-void LoadMetrics::publish(const ingress::LoadLedger& ledger, core::MonotonicTime now) {
+void LoadMetrics::publish(const ingress::LoadStatistics& ledger, core::MonotonicTime now) {
   for (const auto& [service, entry] : ledger.services(now)) {
-    if (series_.contains(service) || series_.size() < ingress::LoadLedger::kMostServices) {
+    if (series_.contains(service) || series_.size() < ingress::LoadStatistics::kMaxServices) {
       publish(service, entry);
     }
   }
--- a/src/node/load_metrics.hpp
+++ b/src/node/load_metrics.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "core/metrics.hpp"
-#include "ingress/load_ledger.hpp"
+#include "ingress/load_statistics.hpp"
 
 namespace stoneport::node {
 
@@ -17,8 +17,8 @@
   explicit LoadMetrics(core::Metrics& metrics) : metrics_(metrics) {}
 
   /// Takes over what the ledger has counted since the last time. A counter appears with the first
-  /// event; services beyond LoadLedger::kMostServices get none.
-  void publish(const ingress::LoadLedger& ledger, core::MonotonicTime now);
+  /// event; services beyond LoadStatistics::kMaxServices get none.
+  void publish(const ingress::LoadStatistics& ledger, core::MonotonicTime now);
 
  private:
   struct Series {
--- a/src/node/load_view.cpp
+++ b/src/node/load_view.cpp
@@ -38,14 +38,14 @@
 
 }  // namespace
 
-LoadView load_view(const ingress::ReplicaDirectory& directory, const ingress::LoadLedger& ledger,
-                   core::MonotonicTime now) {
+LoadView load_view(const ingress::ReplicaDirectory& directory,
+                   const ingress::LoadStatistics& ledger, core::MonotonicTime now) {
   std::map<core::ServiceName, Zones> zones;
   for (const auto& [id, replica] : directory.replicas()) {
     ZoneLoad& zone = zones[replica->record.service][replica->record.zone];
     take_replica(zone, *replica, now);
   }
-  ingress::LoadLedger::Services requests = ledger.services(now);
+  ingress::LoadStatistics::Services requests = ledger.services(now);
   for (const auto& [service, entry] : requests) {
     zones.try_emplace(service);
   }
--- a/src/node/load_view.hpp
+++ b/src/node/load_view.hpp
@@ -7,7 +7,7 @@
 
 #include "core/identifiers.hpp"
 #include "core/time.hpp"
-#include "ingress/load_ledger.hpp"
+#include "ingress/load_statistics.hpp"
 #include "ingress/replica_directory.hpp"
 
 namespace stoneport::node {
@@ -53,7 +53,7 @@
 };
 
 /// Looks at all replicas: for a page that is asked for, not for each request.
-LoadView load_view(const ingress::ReplicaDirectory& directory, const ingress::LoadLedger& ledger,
-                   core::MonotonicTime now);
+LoadView load_view(const ingress::ReplicaDirectory& directory,
+                   const ingress::LoadStatistics& ledger, core::MonotonicTime now);
 
 }  // namespace stoneport::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -125,11 +125,11 @@
                    seed_for(settings_, life_number_, "term")),
       store_watch_(inputs_.executor, inputs_.store, inputs_.time, inputs_.metrics),
       usage_publisher_(publisher_inputs(), publisher_settings(life_)),
-      cold_census_(inputs_.metrics),
+      cold_replica_monitor_(inputs_.metrics),
       load_metrics_(inputs_.metrics),
       evacuated_zones_(inputs_.metrics.gauge("stoneport_evacuated_zones",
                                              "Zones to whose replicas nothing is sent now")) {
-  directory_.gate().cold_pace().replace_bound(settings_.cold_bound);
+  directory_.gate().cold_rate_limiter().replace_bound(settings_.cold_bound);
 }
 
 Node::~Node() = default;
@@ -248,16 +248,17 @@
   while (true) {
     const core::MonotonicTime now = inputs_.time.now();
     if (joined_) {
-      directory_.gate().cold_pace().replace_members(settings_.name.value(), cold_senders(), now);
+      directory_.gate().cold_rate_limiter().replace_members(settings_.name.value(), cold_senders(),
+                                                            now);
     }
-    cold_census_.look(directory_, now);
+    cold_replica_monitor_.update(directory_, now);
     co_await runtime::sleep_for(kColdLook);
   }
 }
 
 asio::awaitable<void> Node::publish_load() {
   while (true) {
-    load_metrics_.publish(forwarder_.ledger(), inputs_.time.now());
+    load_metrics_.publish(forwarder_.load_statistics(), inputs_.time.now());
     co_await runtime::sleep_for(kLoadLook);
   }
 }
@@ -327,7 +328,7 @@
                       {"faults", tenants.faults()},
                       {"region_faults", std::move(region_faults)}});
   job_regions_ = ingress::binding_of_jobs(*routes_.current());
-  directory_.gate().cold_pace().replace_limits(routes_.current()->cold_starts());
+  directory_.gate().cold_rate_limiter().replace_limits(routes_.current()->cold_starts());
   join_when_ready();
   coordinator_.on_inputs_changed();
 }
@@ -358,14 +359,14 @@
 
 void Node::note_cold(const core::ReplicaId& replica, core::Duration left) {
   if (directory_.find(replica)) {
-    directory_.gate().cold_pace().presume_cold(replica, inputs_.time.now() + left);
+    directory_.gate().cold_rate_limiter().presume_cold(replica, inputs_.time.now() + left);
   }
 }
 
 void Node::take_evacuations(eligibility::ListedEvacuations listed, core::Revision as_of) {
   eligibility::Evacuations& evacuations = directory_.gate().evacuations();
   const std::set<core::ZoneName> before = evacuations.zones();
-  const bool has_changed = evacuations.take_listing(std::move(listed), as_of);
+  const bool has_changed = evacuations.apply_listing(std::move(listed), as_of);
   if (has_changed) {
     on_evacuations_changed(before);
   }
@@ -379,7 +380,7 @@
   const std::set<core::ZoneName> before = evacuations.zones();
   bool has_changed = false;
   for (const auto& [zone, notice] : gossip_.zone_notices()) {
-    has_changed |= evacuations.take_notice({notice.zone, notice.revision, notice.evacuated});
+    has_changed |= evacuations.apply_notice({notice.zone, notice.revision, notice.evacuated});
   }
   if (has_changed) {
     on_evacuations_changed(before);
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -12,7 +12,7 @@
 #include "controllers/gossip_controller.hpp"
 #include "controllers/gossip_endpoint.hpp"
 #include "fleet/replica_scaler.hpp"
-#include "ingress/cold_census.hpp"
+#include "ingress/cold_replica_monitor.hpp"
 #include "ingress/forwarder.hpp"
 #include "jobs/coordinator.hpp"
 #include "jobs/job_store.hpp"
@@ -111,7 +111,9 @@
     return zone_views(directory_, evacuated_since_, inputs_.time.now());
   }
   /// \return who waits, who is refused and why, and where there are places.
-  LoadView load() const { return load_view(directory_, forwarder_.ledger(), inputs_.time.now()); }
+  LoadView load() const {
+    return load_view(directory_, forwarder_.load_statistics(), inputs_.time.now());
+  }
 
   const ingress::RouteTableHolder& routes() const { return routes_; }
   /// \return the name of this life of this process, as the holder of a term and elsewhere.
@@ -181,7 +183,7 @@
   jobs::Coordinator coordinator_;
   records::StoreWatch store_watch_;
   usage::UsagePublisher usage_publisher_;
-  ingress::ColdCensus cold_census_;
+  ingress::ColdReplicaMonitor cold_replica_monitor_;
   LoadMetrics load_metrics_;
   prometheus::Gauge& evacuated_zones_;
   std::map<core::ZoneName, core::MonotonicTime> evacuated_since_;  ///< as learned here
--- a/src/node/suspect_exchange.cpp
+++ b/src/node/suspect_exchange.cpp
@@ -173,12 +173,13 @@
   }
   const core::MonotonicTime now = time_.now();
   for (const wire::SuspectNotice& notice : report->suspects) {
-    guard_.hear(suspect_of(notice, now));
+    guard_.apply_remote_suspect(suspect_of(notice, now));
   }
   for (const wire::SuspectRunNotice& run : report->runs) {
     const bool has_begun = run.phase == wire::SuspectRunPhase::kRunning;
     const bool is_over = run.phase == wire::SuspectRunPhase::kOver;
-    guard_.hear_run(message.sender, {run.content, run.replica, run.is_alone, has_begun}, is_over);
+    guard_.apply_remote_run(message.sender, {run.content, run.replica, run.is_alone, has_begun},
+                            is_over);
   }
 }
 
--- a/src/node/suspect_rows.cpp
+++ b/src/node/suspect_rows.cpp
@@ -56,7 +56,7 @@
 void SuspectRows::start() {
   ingress::CrashGuard::Listener listener;
   listener.on_suspect = [this](const quarantine::Suspect& suspect) { on_suspect(suspect); };
-  listener.on_let_go = [this](const core::RequestFingerprint& content) {
+  listener.on_released = [this](const core::RequestFingerprint& content) {
     write(content, std::nullopt);
   };
   guard_.add_listener(std::move(listener));
@@ -77,7 +77,7 @@
   suspect.generation = row->generation;
   suspect.ended = row->ended;
   suspect.forget_at = time_.now() + guard_.retention();
-  guard_.hear(suspect);
+  guard_.apply_remote_suspect(suspect);
   return true;
 }
 
@@ -104,7 +104,7 @@
 }
 
 void SuspectRows::on_suspect(const quarantine::Suspect& suspect) {
-  if (guard_.suspects().terms_of(suspect.content) == quarantine::Terms::kHeld) {
+  if (guard_.suspects().restriction_of(suspect.content) == quarantine::RunRestriction::kHeld) {
     const ports::StoreTime now = store_.now().value_or(ports::StoreTime(0));
     write(suspect.content, SuspectRow{suspect.generation, suspect.ended, now});
   }
--- a/src/quarantine/crash_suspects.cpp
+++ b/src/quarantine/crash_suspects.cpp
@@ -5,15 +5,15 @@
 
 namespace stoneport::quarantine {
 
-std::string_view to_string(Terms terms) {
-  switch (terms) {
-    case Terms::kFree:
+std::string_view to_string(RunRestriction restriction) {
+  switch (restriction) {
+    case RunRestriction::kFree:
       return "free";
-    case Terms::kSpareLast:
+    case RunRestriction::kNotOnLastReplica:
       return "spare_last";
-    case Terms::kAlone:
+    case RunRestriction::kAlone:
       return "alone";
-    case Terms::kHeld:
+    case RunRestriction::kHeld:
       return "held";
   }
   return "unknown";
@@ -30,7 +30,7 @@
     return known->second;
   }
   forget_old(now);
-  if (suspects_.size() >= settings_.most_suspects) {
+  if (suspects_.size() >= settings_.max_suspects) {
     const auto least =
         std::min_element(suspects_.begin(), suspects_.end(), [](const auto& one, const auto& two) {
           return std::make_tuple(one.second.ended.size(), one.second.forget_at) <
@@ -62,21 +62,21 @@
   return true;
 }
 
-bool CrashSuspects::merge(const Suspect& heard, core::MonotonicTime now) {
-  const Suspect* known = find(heard.content);
-  const bool is_old = known != nullptr && heard.generation < known->generation;
-  if (is_old || heard.forget_at <= now) {
+bool CrashSuspects::merge(const Suspect& remote, core::MonotonicTime now) {
+  const Suspect* known = find(remote.content);
+  const bool is_old = known != nullptr && remote.generation < known->generation;
+  if (is_old || remote.forget_at <= now) {
     return false;
   }
-  Suspect& suspect = entry_of(heard.content, now);
-  const bool is_new_generation = known == nullptr || heard.generation > suspect.generation;
+  Suspect& suspect = entry_of(remote.content, now);
+  const bool is_new_generation = known == nullptr || remote.generation > suspect.generation;
   if (is_new_generation) {
-    suspect = heard;
+    suspect = remote;
     return true;
   }
-  suspect.forget_at = std::max(suspect.forget_at, heard.forget_at);
+  suspect.forget_at = std::max(suspect.forget_at, remote.forget_at);
   const std::size_t before = suspect.ended.size();
-  suspect.ended.insert(heard.ended.begin(), heard.ended.end());
+  suspect.ended.insert(remote.ended.begin(), remote.ended.end());
   return suspect.ended.size() > before;
 }
 
@@ -110,18 +110,20 @@
   });
 }
 
-Terms CrashSuspects::terms_of(const core::RequestFingerprint& content, bool was_served) const {
+RunRestriction CrashSuspects::restriction_of(const core::RequestFingerprint& content,
+                                             bool was_served) const {
   const Suspect* suspect = find(content);
   const std::size_t charged = suspect == nullptr ? 0 : charged_ends(*suspect, was_served);
   if (charged == 0) {
-    return Terms::kFree;
+    return RunRestriction::kFree;
   }
-  if (charged < settings_.ends_before_alone) {
-    return Terms::kSpareLast;
+  if (charged < settings_.crashes_before_alone) {
+    return RunRestriction::kNotOnLastReplica;
   }
-  // Two that were together at every end: running them apart clears the innocent one.
-  const bool is_sure = charged >= settings_.ends_before_held && !has_equal(*suspect);
-  return is_sure ? Terms::kHeld : Terms::kAlone;
+  // Two requests that were present at every crash: running them on separate replicas clears the
+  // innocent one.
+  const bool is_sure = charged >= settings_.crashes_before_held && !has_equal(*suspect);
+  return is_sure ? RunRestriction::kHeld : RunRestriction::kAlone;
 }
 
 }  // namespace stoneport::quarantine
--- a/src/quarantine/crash_suspects.hpp
+++ b/src/quarantine/crash_suspects.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// Requests under which replicas ended, and on which terms each may still run. A replica that
-/// ends takes innocent requests with it, so the cause is told from them by elimination: a request
-/// that some replica serves whole is cleared, and an end is charged only to those of its requests
-/// under which the most replicas have ended. Records of two processes merge in any order. Plain
-/// code; belongs to one thread. docs/design/crashing-requests.md
+/// Requests during which replicas crashed, and the restrictions under which each may still run. A
+/// crash affects innocent requests too, so the cause is found by elimination: a request that some
+/// replica serves completely is cleared, and a crash is charged only to those of its requests that
+/// were present at the most crashes. Records of two processes can be merged in any order. Not
+/// thread-safe. docs/design/crashing-requests.md
 #pragma once
 
 #include <map>
@@ -17,72 +17,74 @@
 namespace stoneport::quarantine {
 
 struct SuspectSettings {
-  /// Suspects that a process remembers; those with the fewest ends give way. 256 take about
+  /// Maximum number of suspects; those with the fewest crashes are evicted first. 256 take about
   /// 100 KB and 25 packets.
-  std::size_t most_suspects = 256;
-  /// A suspect that nobody has sent for this long is forgotten: clients that come back do so
-  /// within seconds, operators who look for the cause need minutes.
+  std::size_t max_suspects = 256;
+  /// How long a suspect is remembered that nobody sends: clients retry within seconds, but
+  /// operators who look for the cause need minutes.
   core::Duration retention = std::chrono::minutes(10);
-  /// How long it is remembered that a suspect was cleared: until every process has heard of it.
+  /// How long a cleared suspect is remembered, so that every process learns of it.
   core::Duration cleared_retention = std::chrono::minutes(1);
-  /// Ends after which a request runs beside no other.
-  std::size_t ends_before_alone = 2;
-  /// Ends after which a request runs no more.
-  std::size_t ends_before_held = 3;
+  /// Number of crashes after which a request runs only on a replica without other requests.
+  std::size_t crashes_before_alone = 2;
+  /// Number of crashes after which a request no longer runs.
+  std::size_t crashes_before_held = 3;
 };
 
-/// What is known of one request under which replicas ended.
+/// A request during which replicas crashed.
 struct Suspect {
   core::RequestFingerprint content;
-  /// Rises each time that the request is cleared; what is known of a lower one is void.
+  /// Incremented each time the request is cleared; records of a lower generation are void.
   std::uint64_t generation = 0;
-  std::set<core::ReplicaId> ended;  ///< lives of replicas that ended while they ran it
+  std::set<core::ReplicaId> ended;  ///< incarnations of replicas that crashed while running it
   core::MonotonicTime forget_at{};
 
   bool is_cleared() const { return ended.empty(); }
 };
 
-/// On which terms a request may run.
-enum class Terms {
-  kFree,       ///< like any other
-  kSpareLast,  ///< one run at a time, and never on the last healthy replica of its service
-  kAlone,      ///< besides, on a replica that runs nothing else
-  kHeld,       ///< not at all
+/// Restriction on where and when a request may run.
+enum class RunRestriction {
+  kFree,              ///< no restriction
+  kNotOnLastReplica,  ///< one run at a time, and never on the last healthy replica of its service
+  kAlone,             ///< in addition, only on a replica that runs nothing else
+  kHeld,              ///< must not run
 };
-std::string_view to_string(Terms terms);
+std::string_view to_string(RunRestriction restriction);
 
 class CrashSuspects {
  public:
   explicit CrashSuspects(SuspectSettings settings = {}) : settings_(settings) {}
 
-  /// \p replica ended while it ran \p content. \return whether that is news.
+  /// Records that \p replica crashed while running \p content. \return whether this is new.
   bool note_end(const core::RequestFingerprint& content, const core::ReplicaId& replica,
                 core::MonotonicTime now);
-  /// \p content was served whole, or an operator lets it go. \return whether that is news.
+  /// Clears \p content because a replica served it completely or an operator released it. \return
+  /// whether this is new.
   bool clear(const core::RequestFingerprint& content, core::MonotonicTime now);
-  /// Takes in what another process knows. \return whether that is news.
-  bool merge(const Suspect& heard, core::MonotonicTime now);
-  /// \p content came again.
+  /// Merges the record of another process. \return whether it contained anything new.
+  bool merge(const Suspect& remote, core::MonotonicTime now);
+  /// Records that \p content was sent again.
   void note_seen(const core::RequestFingerprint& content, core::MonotonicTime now);
   void forget_old(core::MonotonicTime now);
 
-  /// \param was_served some replica has served \p content before: of two requests that were at the
-  /// same ends, it is the other one
-  Terms terms_of(const core::RequestFingerprint& content, bool was_served = false) const;
-  /// \return whether nothing is under suspicion.
+  /// \param was_served whether a replica has served \p content before: of two requests that were
+  /// present at the same crashes, the other one is the suspect
+  RunRestriction restriction_of(const core::RequestFingerprint& content,
+                                bool was_served = false) const;
+  /// \return whether no request is under suspicion.
   bool empty() const { return suspects_.empty(); }
-  /// \return what is known of \p content, or null.
+  /// \return the record of \p content, or null.
   const Suspect* find(const core::RequestFingerprint& content) const;
   const std::map<core::RequestFingerprint, Suspect>& all() const { return suspects_; }
 
  private:
   using Suspects = std::map<core::RequestFingerprint, Suspect>;
-  /// \return the entry of \p content, for which another one may have to give way.
+  /// \return the entry of \p content, which is created if necessary and may evict another one.
   Suspect& entry_of(const core::RequestFingerprint& content, core::MonotonicTime now);
-  /// \return the ends of \p suspect that no worse suspect explains, or no equal one where it
-  /// \p was_served.
+  /// \return the number of crashes of \p suspect not explained by a worse suspect, or by an equal
+  /// one if \p was_served.
   std::size_t charged_ends(const Suspect& suspect, bool was_served) const;
-  /// \return whether another request was there at each of the ends of \p suspect.
+  /// \return whether another request was present at exactly the same crashes as \p suspect.
   bool has_equal(const Suspect& suspect) const;
 
   SuspectSettings settings_;
--- a/src/quarantine/request_fingerprint.cpp
+++ b/src/quarantine/request_fingerprint.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t kFirstSeed = 1;
 constexpr std::uint64_t kSecondSeed = 2;
 
-/// Each part is the seed of the next one, so that bytes cannot move from one part to another.
+/// The hash of each part is the seed of the next, so that bytes cannot move between parts.
 std::uint64_t chained_hash(const RequestContent& content, std::uint64_t seed) {
   std::uint64_t hash = seed;
   for (const std::string_view part :
--- a/src/quarantine/request_fingerprint.hpp
+++ b/src/quarantine/request_fingerprint.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Names what a request asks for, so that it is known again when it comes with a new id, at
-/// another process or as a retry. Plain code.
+/// Identifies a request by its content, so that it is recognised with a new id, at another process
+/// or as a retry.
 #pragma once
 
 #include <string_view>
@@ -9,19 +9,19 @@
 
 namespace stoneport::quarantine {
 
-/// What makes two requests the same one. Ids, deadlines and the point at which a stream resumes
-/// differ from attempt to attempt and are left out.
+/// The parts that identify a request. Ids, deadlines and the resume position of a stream differ
+/// between attempts and are excluded.
 struct RequestContent {
-  std::string_view tenant;  ///< two tenants may send the same bytes
+  std::string_view tenant;  ///< different tenants may send the same bytes
   std::string_view method;
   std::string_view host;
   std::string_view target;  ///< path and query
   std::string_view body;
 };
 
-/// \return a hash of 128 bits in hex, the same in every process. Not safe against a caller who
-/// looks for collisions; the tenant is hashed first, so that none reaches another tenant's
-/// requests by repeating their bytes.
+/// \return a 128-bit hash in hexadecimal, the same in every process. Not resistant to deliberate
+/// collisions; the tenant is hashed first, so that no tenant can match another tenant's requests by
+/// sending the same bytes.
 core::RequestFingerprint fingerprint_of(const RequestContent& content);
 
 }  // namespace stoneport::quarantine
--- a/src/quarantine/served_contents.hpp
+++ b/src/quarantine/served_contents.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which requests were served whole lately: one of them is hardly the cause of a replica's first
-/// end. Bounded; belongs to one thread.
+/// Requests that were recently served completely; such a request is unlikely to be the cause of a
+/// replica's first crash. Bounded; not thread-safe.
 #pragma once
 
 #include <deque>
@@ -13,8 +13,8 @@
 
 class ServedContents {
  public:
-  /// \param most_contents remembered, about 60 bytes each
-  explicit ServedContents(std::size_t most_contents = 4096) : most_contents_(most_contents) {}
+  /// \param max_contents maximum number of requests, about 60 bytes each
+  explicit ServedContents(std::size_t max_contents = 4096) : most_contents_(max_contents) {}
 
   void note(const core::RequestFingerprint& content) {
     const std::uint64_t hash = core::hash64(content.value());
