--- a/src/routing/adaptive_throttle.cpp
+++ b/src/routing/adaptive_throttle.cpp
@@ -5,14 +5,15 @@
 namespace stoneport::routing {
 namespace {
 
-/// What is counted slides by steps of this length.
+/// Step by which the counting window slides.
 constexpr core::Duration kBucketLength = std::chrono::milliseconds(100);
 
 std::int64_t period_of(core::MonotonicTime now) {
   return now.time_since_epoch() / kBucketLength;
 }
 
-/// \return the level at which \p asked, cut off there, sum up to \p budget (max-min fair).
+/// \return the level at which the values of \p asked, capped there, sum up to \p budget (max-min
+/// fairness).
 double fair_level(std::vector<double> asked, double budget) {
   std::sort(asked.begin(), asked.end());
   double level = 0;
@@ -47,7 +48,7 @@
   window.ended += weight * bucket.ended;
   window.answered += weight * bucket.answered;
   window.good += weight * bucket.good;
-  window.shares_place |= bucket.asked.size() >= settings_.most_tenants;
+  window.has_shared_entry |= bucket.asked.size() >= settings_.max_tenants;
   for (const Asked& asked : bucket.asked) {
     const auto is_same = [&asked](const Asked& other) {
       return other.rank == asked.rank && other.tenant == asked.tenant;
@@ -69,8 +70,8 @@
   for (auto bucket = buckets_.rbegin(); bucket != buckets_.rend(); ++bucket) {
     double weight = 1;
     if (bucket->period <= certain) {
-      // No more than is missing: a crowd of long ago would outweigh what came since.
-      const double missing = settings_.fewest_sent - window.ended;
+      // Only as much as is missing: an old load spike would outweigh what came since.
+      const double missing = settings_.min_sent - window.ended;
       weight = std::min(1.0, missing / std::max(1.0, bucket->ended));
     }
     if (bucket->period <= oldest || weight <= 0) {
@@ -105,8 +106,8 @@
   share.answered = window.answered - higher;
   share.budget = std::max(budget - higher, settings_.rank_floor * budget);
   if (lower > 0) {
-    // While queues are long most answers are late. The lower ranks are cut until they are short
-    // again; this one fits into what the service does.
+    // While queues are long, most answers are late. Lower ranks are throttled until queues are
+    // short again; this rank fits into the service's throughput.
     share.budget = std::max(share.budget, share.answered);
   }
   return share;
@@ -127,14 +128,14 @@
     asked_by_own += asked.tenant == request.tenant ? asked.count : 0;
     asked_in_shared_place += asked.tenant.empty() ? asked.count : 0;
   }
-  if (window.shares_place && asked_by_own <= 0) {
+  if (window.has_shared_entry && asked_by_own <= 0) {
     asked_by_own = asked_in_shared_place;
   }
   const RankShare share = share_of_rank(window, request.rank, now);
   if (asked_by_rank <= share.budget || asked_by_own <= 0) {
     return 0;
   }
-  // As with ranks: those above the level at which all that is answered is shared are cut first.
+  // As with ranks: tenants above the fair level of all answers are throttled first.
   const double usual_level = fair_level(asked_by_tenants, share.answered);
   double asked_by_modest = 0;
   std::vector<double> asked_by_greedy;
@@ -166,7 +167,7 @@
       return;
     }
   }
-  if (bucket.asked.size() < settings_.most_tenants) {
+  if (bucket.asked.size() < settings_.max_tenants) {
     bucket.asked.push_back({request.rank, request.tenant, 1});
     return;
   }
@@ -179,8 +180,8 @@
   bucket.asked.push_back({request.rank, core::TenantName(), 1});
 }
 
-void AdaptiveThrottle::make_place_for_caller() {
-  if (time_left_.size() < settings_.most_callers) {
+void AdaptiveThrottle::evict_oldest_caller() {
+  if (time_left_.size() < settings_.max_callers) {
     return;
   }
   const auto stalest = std::min_element(
@@ -189,15 +190,15 @@
   time_left_.erase(stalest);
 }
 
-bool AdaptiveThrottle::has_returned(const ThrottleRequest& request, core::MonotonicTime now) {
+bool AdaptiveThrottle::is_client_retry(const ThrottleRequest& request, core::MonotonicTime now) {
   const std::pair key(std::string(request.route), request.tenant);
   auto known = time_left_.find(key);
   if (known == time_left_.end()) {
-    make_place_for_caller();
+    evict_oldest_caller();
     known = time_left_.emplace(key, TimeLeft{}).first;
   }
   TimeLeft& left = known->second;
-  const double least = settings_.returned_below * core::to_seconds(left.most);
+  const double least = settings_.retry_below * core::to_seconds(left.most);
   const bool is_forgotten = now - left.seen_at > settings_.time_left_memory;
   if (core::to_seconds(request.time_left) < least && !is_forgotten) {
     return true;
@@ -212,7 +213,7 @@
   if (refused == first_comer_refused_.end()) {
     return core::Duration(0);
   }
-  return std::max(core::Duration(0), refused->second + settings_.returned_hold - now);
+  return std::max(core::Duration(0), refused->second + settings_.retry_hold - now);
 }
 
 core::Duration AdaptiveThrottle::retry_after(const Window& window, const ThrottleRequest& request,
@@ -226,11 +227,11 @@
       std::max(settings_.shortest_retry_after,
                core::from_seconds(core::to_seconds(usual) * (0.5 + random_.fraction())));
 
-  // Told to come back sooner, it would be refused again for having come back.
+  // With a shorter Retry-After the caller would be refused again as a retry.
   const auto known = time_left_.find(std::pair(std::string(request.route), request.tenant));
   const core::Duration most = known == time_left_.end() ? request.time_left : known->second.most;
   const double left_then = core::to_seconds(request.time_left - drained);
-  if (left_then >= settings_.returned_below * core::to_seconds(most)) {
+  if (left_then >= settings_.retry_below * core::to_seconds(most)) {
     return drained;
   }
   const double hold = core::to_seconds(hold_left(request.rank, now));
@@ -244,17 +245,17 @@
   return {};
 }
 
-ThrottleDecision AdaptiveThrottle::ask(const ThrottleRequest& request, core::MonotonicTime now) {
-  const bool returned = has_returned(request, now);
+ThrottleDecision AdaptiveThrottle::decide(const ThrottleRequest& request, core::MonotonicTime now) {
+  const bool returned = is_client_retry(request, now);
   if (!is_armed(now)) {
     return admit(now);
   }
   const Window window = window_at(now);
   const bool is_probe = now - last_admitted_ > settings_.probe_interval;
   if (!is_probe && returned && hold_left(request.rank, now) > core::Duration(0)) {
-    // Not counted as asked: it takes nothing from the share of those who come first.
+    // Not counted as asked, so that it does not reduce the share of new requests.
     ++counts_.returned;
-    return {ThrottleVerdict::kReturned, retry_after(window, request, now)};
+    return {ThrottleVerdict::kRetried, retry_after(window, request, now)};
   }
   if (is_probe || !random_.chance(chance_of_refusal(window, request, now))) {
     return admit(now);
@@ -300,10 +301,10 @@
   if (came_before) {
     return true;
   }
-  if (refusal.refusals > settings_.most_second_sends) {
+  if (refusal.refusals > settings_.max_second_sends) {
     return false;
   }
-  // Whoever asks no more than its share is sent on free of the budget, which others use up.
+  // Requests within their share are resent without using the budget, which the others exhaust.
   const bool is_within_share = chance_of_refusal(window_at(now), request, now) <= 0;
   return is_within_share || second_sends_.try_retry(now);
 }
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -5,7 +5,7 @@
 
 namespace stoneport::routing {
 namespace {
-/// Weight of the newest request in the average of service times.
+/// Weight of the latest request in the moving average of service times.
 constexpr double kServiceTimeWeight = 0.05;
 }  // namespace
 
@@ -40,7 +40,7 @@
 std::vector<AdmissionTicket> Admission::finish(AdmissionTicket ticket, core::MonotonicTime now) {
   const auto found = entries_.find(ticket);
   if (found == entries_.end() || !found->second.is_running) {
-    throw std::logic_error("a request ended that was not running");
+    throw std::logic_error("finish() called for a request that is not running");
   }
   const double seconds = core::to_seconds(now - found->second.started_at);
   const bool is_first = mean_service_seconds_ == 0;
@@ -69,7 +69,7 @@
 void Admission::give_up(AdmissionTicket ticket) {
   const auto found = entries_.find(ticket);
   if (found == entries_.end() || found->second.is_running) {
-    throw std::logic_error("a request was given up that was not waiting");
+    throw std::logic_error("give_up() called for a request that is not waiting");
   }
   queue_.erase(QueueKey{found->second.request.priority, ticket});
   entries_.erase(found);
@@ -95,7 +95,7 @@
   ++running_of_tenant_[entry.request.tenant];
 }
 
-/// Time until \p ahead waiting requests and one more have had their turn.
+/// \return the expected time until \p ahead waiting requests and one more have been started.
 core::Duration Admission::expected_wait(std::size_t ahead) const {
   const double turns = static_cast<double>(ahead + 1) / std::max(1u, options_.max_running);
   return core::from_seconds(turns * mean_service_seconds_);
--- a/src/routing/admission.hpp
+++ b/src/routing/admission.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// Which requests run now, which wait, and which are refused: a bound on what
-/// runs, over all and a tenant, and a bounded queue in order of priority. Plain
-/// state, owned by one thread.
+/// Concurrency limits, in total and per tenant, with a bounded priority queue: decides which
+/// requests run, wait or are refused. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +18,18 @@
 struct AdmissionOptions {
   std::uint32_t max_running = 1024;
   std::uint32_t max_waiting = 1024;
-  /// Range of the time after which refused callers are told to come back.
+  /// Range of the Retry-After values of refused requests.
   core::Duration shortest_retry_after = std::chrono::milliseconds(100);
   core::Duration longest_retry_after = std::chrono::seconds(30);
 };
 
-/// One request's place from arrival to its end.
+/// Identifies a request from arrival to completion.
 using AdmissionTicket = std::uint64_t;
 
 struct AdmissionRequest {
   core::TenantName tenant;
   std::int32_t priority = 0;  ///< higher runs first
-  /// Most requests of the tenant that run at once on this thread.
+  /// Maximum number of concurrent requests of the tenant on this thread.
   std::uint32_t tenant_concurrency = 1024;
   core::MonotonicTime deadline;
 };
@@ -40,9 +39,9 @@
 struct AdmissionDecision {
   AdmissionVerdict verdict = AdmissionVerdict::kRefuse;
   AdmissionTicket ticket = 0;
-  /// When refused: when to come back, with jitter.
+  /// Retry-After of a refused request, with jitter.
   core::Duration retry_after{};
-  /// A waiting request of lower priority that lost its place to this one.
+  /// A waiting request of lower priority that was evicted in favour of this one.
   std::optional<AdmissionTicket> displaced;
 };
 
@@ -50,23 +49,23 @@
  public:
   Admission(AdmissionOptions options, std::uint64_t seed);
 
-  /// Decides on a new request. One whose deadline would pass before its turn,
-  /// by the estimate, is refused at once.
+  /// Decides on a new request. A request whose deadline is expected to pass before it can start is
+  /// refused immediately.
   AdmissionDecision arrive(const AdmissionRequest& request, core::MonotonicTime now);
-  /// Ends a running request.
-  /// \return the tickets whose turn has come; they run from now on.
+  /// Marks a running request as finished.
+  /// \return the tickets of waiting requests that now run.
   std::vector<AdmissionTicket> finish(AdmissionTicket ticket, core::MonotonicTime now);
-  /// Takes a waiting request out of the queue: it was given up.
+  /// Removes an abandoned request from the queue.
   void give_up(AdmissionTicket ticket);
-  /// \return when a refused caller should come back: the time that the queue
-  /// needs to drain, give or take half.
+  /// \return the Retry-After value of a refused request: the time in which the queue drains, plus
+  /// or minus up to half.
   core::Duration retry_after();
 
   std::uint32_t running() const { return running_; }
   std::size_t waiting() const { return queue_.size(); }
 
  private:
-  /// Order of the queue: higher priority first, then earlier arrival.
+  /// Queue order: higher priority first, then earlier arrival.
   struct QueueKey {
     std::int32_t priority = 0;
     AdmissionTicket ticket = 0;
@@ -92,7 +91,7 @@
   std::unordered_map<core::TenantName, std::uint32_t> running_of_tenant_;
   std::unordered_map<AdmissionTicket, Entry> entries_;
   std::map<QueueKey, AdmissionTicket> queue_;
-  double mean_service_seconds_ = 0;  ///< moving average; zero until the first end
+  double mean_service_seconds_ = 0;  ///< moving average; zero until the first request has finished
 };
 
 }  // namespace stoneport::routing
--- a/src/routing/call_times.cpp
+++ b/src/routing/call_times.cpp
@@ -5,29 +5,29 @@
 namespace stoneport::routing {
 namespace {
 constexpr double kLargestUsualShare = 0.5;
-constexpr std::uint32_t kMostDoublings = 8;
+constexpr std::uint32_t kMaxDoublings = 8;
 
 core::Duration times(core::Duration length, double factor) {
   return core::from_seconds(core::to_seconds(length) * factor);
 }
 
 double doubled(std::uint32_t given_up) {
-  return 1U << std::min(given_up, kMostDoublings);
+  return 1U << std::min(given_up, kMaxDoublings);
 }
 }  // namespace
 
 void CallTimes::note(core::Duration taken) {
-  if (newest_.size() < settings_.remembered) {
+  if (newest_.size() < settings_.max_remembered) {
     newest_.push_back(taken);
     return;
   }
   newest_[next_] = taken;
-  next_ = (next_ + 1) % settings_.remembered;
+  next_ = (next_ + 1) % settings_.max_remembered;
 }
 
 core::Duration CallTimes::usual(const CallBounds& bounds) const {
   core::Duration usual = times(bounds.target, settings_.usual_share_of_target);
-  if (newest_.size() >= settings_.fewest) {
+  if (newest_.size() >= settings_.min_remembered) {
     std::vector<core::Duration> sorted = newest_;
     const auto place =
         static_cast<std::size_t>(settings_.usual_quantile * static_cast<double>(sorted.size()));
@@ -45,13 +45,13 @@
   return std::min(std::max(usual, settings_.shortest_usual), longest);
 }
 
-core::Duration CallTimes::patience_with_suspect(const CallBounds& bounds,
-                                                std::uint32_t given_up) const {
+core::Duration CallTimes::suspect_silence_timeout(const CallBounds& bounds,
+                                                  std::uint32_t given_up) const {
   return std::min(times(usual(bounds), doubled(given_up)), bounds.timeout);
 }
 
-core::Duration CallTimes::patience(const CallBounds& bounds, std::uint32_t given_up) const {
-  const double usual_times = settings_.patience_in_usual_times * doubled(given_up);
+core::Duration CallTimes::silence_timeout(const CallBounds& bounds, std::uint32_t given_up) const {
+  const double usual_times = settings_.silence_timeout_in_usual_times * doubled(given_up);
   return std::min(times(usual(bounds), usual_times), bounds.timeout);
 }
 
--- a/src/routing/deadline.hpp
+++ b/src/routing/deadline.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Deadline arithmetic of requests. Plain code.
+/// Deadline arithmetic of requests.
 #pragma once
 
 #include <optional>
@@ -11,25 +11,24 @@
 
 namespace stoneport::routing {
 
-/// Bounds on what a caller may ask for.
+/// Limits on the deadline that a caller may request.
 struct DeadlineRules {
   core::Duration default_deadline = std::chrono::seconds(10);
   core::Duration longest_deadline = std::chrono::seconds(120);
 };
 
-/// \param header value of Stoneport-Deadline-Ms, whole milliseconds, where given
-/// \return the point by which the request must have ended: \p header's, at most
-/// the longest; the default without one. kInvalidArgument for a value that is
-/// not a whole number of milliseconds above zero.
+/// \param header value of Stoneport-Deadline-Ms in whole milliseconds, if present
+/// \return the deadline of the request: the value of \p header, limited to the maximum, or the
+/// default without a header. kInvalidArgument if the value is not a positive whole number.
 core::Result<core::MonotonicTime> request_deadline(std::optional<std::string_view> header,
                                                    const DeadlineRules& rules,
                                                    core::MonotonicTime now);
 
-/// \return what is left until \p deadline, never below zero.
+/// \return the time left until \p deadline, at least zero.
 core::Duration remaining(core::MonotonicTime deadline, core::MonotonicTime now);
 
-/// \return the header value that passes the rest of a deadline on to a back
-/// end: whole milliseconds, rounded down, at least 1.
+/// \return the header value that propagates the remaining time to a back end: whole milliseconds,
+/// rounded down, at least 1.
 std::string remaining_milliseconds(core::MonotonicTime deadline, core::MonotonicTime now);
 
 }  // namespace stoneport::routing
--- a/src/routing/prefix_affinity.hpp
+++ b/src/routing/prefix_affinity.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Prompt prefixes and where they are cached. Plain code.
+/// Prompt prefix hashes and tracking of cached prefixes.
 #pragma once
 
 #include <cstddef>
@@ -14,31 +14,31 @@
 
 namespace stoneport::routing {
 
-/// Length of the blocks over which engines hash prompts, in bytes.
+/// Block size in bytes over which engines hash prompts.
 inline constexpr std::size_t kPrefixBlockBytes = 256;
 
-/// \return the hash (XXH3, 64 bit, seed 0) of each whole multiple of
-/// kPrefixBlockBytes of \p prompt from its start, shortest first; empty for a
-/// prompt shorter than one block. The same hashes as engines report.
+/// \return the hash (XXH3, 64 bit, seed 0) of each prefix of \p prompt whose length is a multiple
+/// of kPrefixBlockBytes, shortest first; empty for a prompt shorter than one block. Identical to
+/// the hashes that engines report.
 std::vector<std::uint64_t> prefix_hashes(std::string_view prompt);
 
-/// \return a key that all samples of one prompt share.
+/// \return a key shared by all samples of one prompt.
 std::uint64_t prompt_group(std::string_view prompt);
 
-/// \return how many bytes of the prompt that \p prefixes came from are cached,
-/// given the sorted hashes \p cached.
+/// \return the number of cached bytes of the prompt with the hashes \p prefixes, given the sorted
+/// hashes \p cached.
 std::size_t cached_prefix_bytes(std::span<const std::uint64_t> prefixes,
                                 std::span<const std::uint64_t> cached);
 
-/// Prefixes that this process itself sent to one replica lately. Digests come
-/// late, so what we sent is known sooner than what the replica reports.
+/// Prefixes that this process recently sent to one replica. Digests arrive with a delay, so that
+/// own requests are known before the replica reports them.
 class RecentPrefixes {
  public:
-  /// \param capacity most prefixes kept; the oldest are forgotten first
+  /// \param capacity maximum number of prefixes; the oldest are dropped first
   explicit RecentPrefixes(std::size_t capacity = 512,
                           core::Duration lifetime = std::chrono::seconds(60));
   void add(std::span<const std::uint64_t> prefixes, core::MonotonicTime now);
-  /// \return bytes of the longest prefix that was sent within the lifetime.
+  /// \return length in bytes of the longest prefix that was sent within the lifetime.
   std::size_t cached_bytes(std::span<const std::uint64_t> prefixes, core::MonotonicTime now) const;
   void clear();
 
--- a/src/routing/replica_choice.cpp
+++ b/src/routing/replica_choice.cpp
@@ -8,11 +8,11 @@
 namespace stoneport::routing {
 namespace {
 
-/// Requests that a replica runs at once where it has not told us.
+/// Concurrent requests assumed for a replica that has not reported its capacity.
 constexpr double kAssumedCapacity = 32;
 
-/// Requests of others on a replica, by its digest: what it reports less what we
-/// had in flight there when the digest was taken.
+/// \return the requests of other processes on a replica by its digest: the reported number minus
+/// those that this process had in flight when the digest was taken.
 double others_by_digest(const Candidate& candidate) {
   const ReplicaDigest& digest = *candidate.replica->digest;
   const auto reported = static_cast<double>(digest.running + digest.waiting);
@@ -38,27 +38,26 @@
   if (eligible.indexes.empty()) {
     return {eligible.outcome};
   }
-  std::vector<Rated> rated = rate(candidates, eligible.indexes, request, now);
+  std::vector<ScoredCandidate> scored = rate(candidates, eligible.indexes, request, now);
   if (options_.use_load_bound) {
-    drop_overloaded(rated);
+    remove_overloaded(scored);
   }
-  const std::vector<std::size_t> drawn = draw(rated, candidates, request);
+  const std::vector<std::size_t> drawn = draw(scored, candidates, request);
   const std::size_t best = *std::min_element(
       drawn.begin(), drawn.end(),
-      [&](std::size_t left, std::size_t right) { return rated[left].cost < rated[right].cost; });
-  return {ChoiceOutcome::kChosen, rated[best].index};
+      [&](std::size_t left, std::size_t right) { return scored[left].cost < scored[right].cost; });
+  return {ChoiceOutcome::kChosen, scored[best].index};
 }
 
-std::vector<CostChooser::Rated> CostChooser::rate(std::span<const Candidate> candidates,
-                                                  const std::vector<std::size_t>& eligible,
-                                                  const ChoiceRequest& request,
-                                                  core::MonotonicTime now) const {
-  std::vector<Rated> rated(eligible.size());
+std::vector<CostChooser::ScoredCandidate> CostChooser::rate(
+    std::span<const Candidate> candidates, const std::vector<std::size_t>& eligible,
+    const ChoiceRequest& request, core::MonotonicTime now) const {
+  std::vector<ScoredCandidate> scored(eligible.size());
   for (std::size_t position = 0; position < eligible.size(); ++position) {
-    rated[position].index = eligible[position];
+    scored[position].index = eligible[position];
   }
-  estimate_loads(candidates, rated, now);
-  for (Rated& entry : rated) {
+  estimate_loads(candidates, scored, now);
+  for (ScoredCandidate& entry : scored) {
     const Candidate& candidate = candidates[entry.index];
     if (options_.use_prefixes && !request.prefixes.empty()) {
       entry.cached_bytes = candidate.load->recent_prefixes().cached_bytes(request.prefixes, now);
@@ -71,19 +70,20 @@
     entry.is_local = candidate.replica->zone == options_.zone;
     entry.cost = cost(*candidate.replica, entry, request);
   }
-  return rated;
+  return scored;
 }
 
-/// Others' load fades with the digest's age towards the mean over all, so that
-/// a replica is not taken for idle because it has not been heard of.
-void CostChooser::estimate_loads(std::span<const Candidate> candidates, std::vector<Rated>& rated,
+/// With the age of a digest, the estimate of other processes' load converges to the mean over all
+/// replicas, so that a replica without a recent digest does not appear idle.
+void CostChooser::estimate_loads(std::span<const Candidate> candidates,
+                                 std::vector<ScoredCandidate>& scored,
                                  core::MonotonicTime now) const {
   double weight_sum = 0;
   double others_sum = 0;
-  std::vector<double> weights(rated.size(), 0);
-  for (std::size_t position = 0; position < rated.size(); ++position) {
-    const Candidate& candidate = candidates[rated[position].index];
-    rated[position].load = candidate.load->in_flight();
+  std::vector<double> weights(scored.size(), 0);
+  for (std::size_t position = 0; position < scored.size(); ++position) {
+    const Candidate& candidate = candidates[scored[position].index];
+    scored[position].load = candidate.load->in_flight();
     if (!options_.use_digests || !candidate.replica->digest) {
       continue;
     }
@@ -95,27 +95,27 @@
     return;
   }
   const double mean = others_sum / weight_sum;
-  for (std::size_t position = 0; position < rated.size(); ++position) {
+  for (std::size_t position = 0; position < scored.size(); ++position) {
     const double weight = weights[position];
-    const double others = weight > 0 ? others_by_digest(candidates[rated[position].index]) : 0;
-    rated[position].load += weight * others + (1 - weight) * mean;
+    const double others = weight > 0 ? others_by_digest(candidates[scored[position].index]) : 0;
+    scored[position].load += weight * others + (1 - weight) * mean;
   }
 }
 
-double CostChooser::cost(const Replica& replica, const Rated& rated,
+double CostChooser::cost(const Replica& replica, const ScoredCandidate& scored,
                          const ChoiceRequest& request) const {
-  double total = rated.load;
+  double total = scored.load;
   const bool has_capacity = replica.digest && replica.digest->max_running > 0;
   const double capacity = has_capacity ? replica.digest->max_running : kAssumedCapacity;
-  total += options_.waiting_factor * std::max(0.0, rated.load - capacity);
+  total += options_.waiting_factor * std::max(0.0, scored.load - capacity);
 
   const std::size_t uncached =
-      request.prompt_bytes - std::min(request.prompt_bytes, rated.cached_bytes);
+      request.prompt_bytes - std::min(request.prompt_bytes, scored.cached_bytes);
   total += static_cast<double>(uncached) / options_.prefill_bytes_per_request;
 
   if (replica.region != options_.region) {
     total += options_.cross_region_cost;
-  } else if (!rated.is_local) {
+  } else if (!scored.is_local) {
     total += options_.cross_zone_cost;
   }
   if (replica.digest && replica.digest->swapping) {
@@ -127,64 +127,70 @@
   return total;
 }
 
-/// Removes those above the bound. The mean itself is never above it, so at
-/// least one stays.
-void CostChooser::drop_overloaded(std::vector<Rated>& rated) const {
+/// Removes replicas above the load bound. The mean is never above it, so that at least one remains.
+void CostChooser::remove_overloaded(std::vector<ScoredCandidate>& scored) const {
   double sum = 1;
-  for (const Rated& entry : rated) {
+  for (const ScoredCandidate& entry : scored) {
     sum += entry.load;
   }
-  const double mean = sum / static_cast<double>(rated.size());
+  const double mean = sum / static_cast<double>(scored.size());
   const double bound = std::max(1.0, std::ceil(options_.load_bound * mean));
-  const auto is_above = [&](const Rated& entry) { return entry.load + 1 > bound + 1e-9; };
-  if (!std::all_of(rated.begin(), rated.end(), is_above)) {
-    std::erase_if(rated, is_above);
+  const auto is_above = [&](const ScoredCandidate& entry) { return entry.load + 1 > bound + 1e-9; };
+  if (!std::all_of(scored.begin(), scored.end(), is_above)) {
+    std::erase_if(scored, is_above);
   }
 }
 
-/// Draws the few that are compared: for prompts those with affinity, first, as
-/// equal costs go to the first; then random ones, mostly of our own zone.
-std::vector<std::size_t> CostChooser::draw(const std::vector<Rated>& rated,
+/// Draws the few candidates that are compared: for prompts those with affinity first, as ties go to
+/// the first; then random ones, mostly of the own zone.
+std::vector<std::size_t> CostChooser::draw(const std::vector<ScoredCandidate>& scored,
                                            std::span<const Candidate> candidates,
                                            const ChoiceRequest& request) {
   std::vector<std::size_t> local;
   std::vector<std::size_t> all;
-  for (std::size_t position = 0; position < rated.size(); ++position) {
+  for (std::size_t position = 0; position < scored.size(); ++position) {
     all.push_back(position);
-    if (rated[position].is_local) {
+    if (scored[position].is_local) {
       local.push_back(position);
     }
   }
   std::vector<std::size_t> drawn;
   if (options_.use_prefixes) {
-    add_affine(rated, candidates, request, drawn);
+    add_affine(scored, candidates, request, drawn);
   }
   add_random(local, options_.random_choices, drawn);
   add_random(all, local.empty() ? options_.random_choices : 1, drawn);
   return drawn;
 }
 
-/// Adds the one with the longest cached prefix and the group's home, the first
-/// by rendezvous hashing among those within the bound.
-void CostChooser::add_affine(const std::vector<Rated>& rated, std::span<const Candidate> candidates,
-                             const ChoiceRequest& request, std::vector<std::size_t>& drawn) {
+/// Adds the replica with the longest cached prefix and the home replica of the group, which is the
+/// first by rendezvous hashing among those within the bound.
+void CostChooser::add_affine(const std::vector<ScoredCandidate>& scored,
+                             std::span<const Candidate> candidates, const ChoiceRequest& request,
+                             std::vector<std::size_t>& drawn) {
   const auto position_of = [&](auto found) {
-    return static_cast<std::size_t>(found - rated.begin());
+    return static_cast<std::size_t>(found - scored.begin());
   };
   if (!request.prefixes.empty()) {
-    const auto rank = [](const Rated& entry) { return std::pair(entry.cached_bytes, -entry.cost); };
-    const auto longest = std::max_element(
-        rated.begin(), rated.end(),
-        [&](const Rated& left, const Rated& right) { return rank(left) < rank(right); });
+    const auto rank = [](const ScoredCandidate& entry) {
+      return std::pair(entry.cached_bytes, -entry.cost);
+    };
+    const auto longest =
+        std::max_element(scored.begin(), scored.end(),
+                         [&](const ScoredCandidate& left, const ScoredCandidate& right) {
+                           return rank(left) < rank(right);
+                         });
     drawn.push_back(position_of(longest));
   }
   if (request.group) {
-    const auto weight = [&](const Rated& entry) {
+    const auto weight = [&](const ScoredCandidate& entry) {
       return affinity_weight(*request.group, candidates[entry.index].replica->id);
     };
-    const auto home = std::max_element(
-        rated.begin(), rated.end(),
-        [&](const Rated& left, const Rated& right) { return weight(left) < weight(right); });
+    const auto home =
+        std::max_element(scored.begin(), scored.end(),
+                         [&](const ScoredCandidate& left, const ScoredCandidate& right) {
+                           return weight(left) < weight(right);
+                         });
     drawn.push_back(position_of(home));
   }
 }
--- a/src/routing/replica_chooser.hpp
+++ b/src/routing/replica_chooser.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Interface of the decision which replica gets a request, so that the full
-/// decision and its baselines can be swapped. Plain code, owned by one thread.
+/// Interface of replica choice, which allows the cost-based choice and its baselines to be
+/// exchanged. Not thread-safe.
 #pragma once
 
 #include <optional>
@@ -10,51 +10,51 @@
 
 namespace stoneport::routing {
 
-/// What the decision needs to know of a request.
+/// Properties of a request that the choice depends on.
 struct ChoiceRequest {
-  /// Of the prompt, shortest first (prefix_hashes()); empty for ordinary requests.
+  /// Hashes of the prompt's prefixes, shortest first (prefix_hashes()); empty for ordinary
+  /// requests.
   std::span<const std::uint64_t> prefixes;
   std::size_t prompt_bytes = 0;
-  /// Requests with the same key are kept together (prompt_group()).
+  /// Requests with the same key are sent to the same replica if possible (prompt_group()).
   std::optional<std::uint64_t> group;
-  /// Replicas on an older version than this one cost more.
+  /// Replicas with an older version than this one cost more.
   core::WeightVersion preferred_version;
-  /// Replicas that earlier attempts used.
+  /// Replicas used by earlier attempts.
   std::span<const core::ReplicaId> excluded;
 };
 
 enum class ChoiceOutcome {
   kChosen,
-  kNoReplica,  ///< none is known that may get new work
-  kAllFull,    ///< every replica that may get work is at its limit
+  kNoReplica,  ///< no known replica may get new work
+  kAllFull,    ///< all replicas that may get work are at their limit
 };
 
 struct Choice {
   ChoiceOutcome outcome = ChoiceOutcome::kNoReplica;
-  std::size_t index = 0;  ///< into the candidates, when chosen
+  std::size_t index = 0;  ///< index of the chosen candidate
 };
 
 class ReplicaChooser {
  public:
   virtual ~ReplicaChooser() = default;
-  /// Decides; the caller then calls started() on the chosen candidate's load.
+  /// Chooses a replica. The caller then calls started() on the load of the chosen candidate.
   virtual Choice choose(std::span<const Candidate> candidates, const ChoiceRequest& request,
                         core::MonotonicTime now) = 0;
 };
 
-/// Indexes of the candidates that may get the request, or why there are none.
+/// Indexes of the candidates that may get the request, or the reason why there are none.
 struct Eligible {
   std::vector<std::size_t> indexes;
   ChoiceOutcome outcome = ChoiceOutcome::kNoReplica;
 };
 
-/// Applies the rules that hold for every chooser: nothing for replicas that are
-/// leaving or down, suspect ones only when no usable one is left, none beyond
-/// its limit, none that was excluded.
+/// Applies the rules common to all choosers: excludes replicas that are leaving, down, at their
+/// limit or explicitly excluded, and suspect ones unless no other is usable.
 Eligible eligible_candidates(std::span<const Candidate> candidates, const ChoiceRequest& request,
                              core::MonotonicTime now);
 
-/// One after the other, whatever their load.
+/// Chooses replicas in turn regardless of load.
 class RoundRobinChooser : public ReplicaChooser {
  public:
   Choice choose(std::span<const Candidate> candidates, const ChoiceRequest& request,
@@ -64,7 +64,8 @@
   std::size_t next_ = 0;
 };
 
-/// The fewest requests of our own in flight; ties go to the one after the last.
+/// Chooses the replica with the fewest requests of this process in flight; ties go to the one after
+/// the last choice.
 class LeastOutstandingChooser : public ReplicaChooser {
  public:
   Choice choose(std::span<const Candidate> candidates, const ChoiceRequest& request,
--- a/src/routing/replica_load.cpp
+++ b/src/routing/replica_load.cpp
@@ -12,14 +12,14 @@
 
 void ReplicaLoad::finished(LoadSignal signal, core::MonotonicTime now) {
   if (in_flight_ == 0) {
-    throw std::logic_error("an exchange ended that was never started");
+    throw std::logic_error("finished() called without a request in flight");
   }
   limit_.observe(signal, in_flight_, now);
   record(now);
   --in_flight_;
 }
 
-/// Keeps the value that stood until \p now, at most once an interval.
+/// Stores the value that was valid until \p now, at most once per interval.
 void ReplicaLoad::record(core::MonotonicTime now) {
   if (now - history_[newest_].time < kSampleInterval) {
     return;
@@ -82,7 +82,7 @@
   return result;
 }
 
-void ReplicaLoads::forget_all_but(std::span<const Replica> replicas) {
+void ReplicaLoads::retain_only(std::span<const Replica> replicas) {
   std::unordered_set<core::ReplicaId> known;
   for (const Replica& replica : replicas) {
     known.insert(replica.id);
--- a/src/routing/replica_load.hpp
+++ b/src/routing/replica_load.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// What one thread knows of the replicas by its own exchanges with them. It
-/// outlives routing tables: a new table changes the replicas' states and
-/// digests, not what we have in flight. Owned by one thread.
+/// Replica load as seen by one thread's own requests. Outlives routing tables: a new table changes
+/// the states and digests of replicas, but not the requests in flight. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -17,7 +16,7 @@
 
 namespace stoneport::routing {
 
-/// How long a replica stays suspect after our own failure to reach it.
+/// How long a replica remains suspect after this process failed to reach it.
 inline constexpr core::Duration kLocalSuspicion = std::chrono::seconds(5);
 
 class ReplicaLoad : public std::enable_shared_from_this<ReplicaLoad> {
@@ -27,16 +26,16 @@
   void started(core::MonotonicTime now);
   void finished(LoadSignal signal, core::MonotonicTime now);
   std::uint32_t in_flight() const { return in_flight_; }
-  /// \return requests in flight at \p time, as far back as the history goes.
+  /// \return the requests in flight at \p time, as far back as the history reaches.
   std::uint32_t in_flight_at(core::MonotonicTime time) const;
 
   bool has_room() const { return in_flight_ < limit_.value(); }
   AdaptiveLimit& limit() { return limit_; }
   const AdaptiveLimit& limit() const { return limit_; }
 
-  /// Marks the replica as out of reach for a while, in this incarnation.
+  /// Marks this incarnation of the replica as temporarily unreachable.
   void suspect(core::Incarnation incarnation, core::MonotonicTime now);
-  /// Ends a suspicion at once, after an answer.
+  /// Ends a suspicion immediately, after an answer.
   void trust() { suspect_until_ = {}; }
   bool is_suspect(core::Incarnation incarnation, core::MonotonicTime now) const;
 
@@ -60,27 +59,27 @@
   std::size_t newest_ = 0;
 };
 
-/// A replica together with our own load on it. Valid as long as both are.
+/// A replica and this thread's load on it. Valid as long as both.
 struct Candidate {
   const Replica* replica = nullptr;
   ReplicaLoad* load = nullptr;
 };
 
-/// \return the state to go by: the table's, or suspect where our own exchanges
-/// say so before the table does.
+/// \return the state from the table, or suspect if this process failed to reach the replica before
+/// the table shows it.
 ReplicaState effective_state(const Candidate& candidate, core::MonotonicTime now);
 
-/// The loads of every replica that this thread has used.
+/// Loads of all replicas that this thread has used.
 class ReplicaLoads {
  public:
   explicit ReplicaLoads(AdaptiveLimitOptions limit = {}) : limit_(limit) {}
-  /// \return the load of \p replica, made at the first call; its address is stable.
+  /// \return the load of \p replica, created on first use; its address is stable.
   ReplicaLoad& of(const core::ReplicaId& replica);
-  /// \return one candidate a replica, in the same order.
+  /// \return one candidate per replica, in the same order.
   std::vector<Candidate> candidates(std::span<const Replica* const> replicas);
   std::vector<Candidate> candidates(std::span<const Replica> replicas);
-  /// Forgets replicas that are not among \p replicas and have nothing in flight.
-  void forget_all_but(std::span<const Replica> replicas);
+  /// Removes the loads of replicas that are not in \p replicas and have no requests in flight.
+  void retain_only(std::span<const Replica> replicas);
   std::size_t size() const { return loads_.size(); }
 
  private:
--- a/src/routing/replica_observer.hpp
+++ b/src/routing/replica_observer.hpp
@@ -1,18 +1,17 @@
 /// \file
-/// Where traffic reports what it learns of replicas before the control thread
-/// does.
+/// Interface through which request handling reports replica failures to the control thread.
 #pragma once
 
 #include "core/identifiers.hpp"
 
 namespace stoneport::routing {
 
-/// Called on traffic threads; the implementation posts to the control thread
-/// and must not wait.
+/// Called on request-handling threads; the implementation posts to the control thread and must not
+/// block.
 class ReplicaObserver {
  public:
   virtual ~ReplicaObserver() = default;
-  /// A connection to the replica was refused or could not be opened in time.
+  /// Reports that a connection to the replica was refused or could not be opened in time.
   virtual void replica_unreachable(const core::ReplicaId& replica,
                                    core::Incarnation incarnation) = 0;
 };
--- a/src/routing/replica_pool.cpp
+++ b/src/routing/replica_pool.cpp
@@ -52,7 +52,7 @@
                                                std::span<const Replica> replicas) {
   const std::vector<const Replica*> subset = choose_subset(owner_, replicas, size_);
   candidates_ = loads_.candidates(std::span<const Replica* const>(subset));
-  loads_.forget_all_but(replicas);
+  loads_.retain_only(replicas);
   table_ = std::move(table);
   std::vector<core::Address> addresses;
   for (const Candidate& candidate : candidates_) {
--- a/src/routing/replica_pool.hpp
+++ b/src/routing/replica_pool.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// The replicas of one service or model that this thread uses, kept up to date
-/// with the routing table, with their loads, chooser and retry budget. Plain
-/// code, owned by one thread.
+/// The replicas of one service or model used by this thread, kept in sync with the routing table,
+/// with their loads, chooser and retry budget. Not thread-safe.
 #pragma once
 
 #include <memory>
@@ -14,8 +13,7 @@
 
 namespace stoneport::routing {
 
-/// A replica that was chosen for one attempt; counts as in flight there until
-/// finish() or destruction.
+/// A replica chosen for one attempt; counts as in flight there until finish() or destruction.
 class ChosenReplica {
  public:
   ChosenReplica(const Candidate& candidate, core::MonotonicTime now);
@@ -29,9 +27,9 @@
   const core::Address& address() const { return address_; }
   core::Incarnation incarnation() const { return incarnation_; }
   void finish(LoadSignal signal, core::MonotonicTime now);
-  /// The replica could not be reached: it gets no work while others are usable.
+  /// Marks the replica as unreachable: it gets no work while other replicas are usable.
   void suspect(core::MonotonicTime now);
-  /// Notes what this attempt leaves in the replica's prefix cache.
+  /// Records the prefixes that this attempt leaves in the replica's cache.
   void remember_prefixes(std::span<const std::uint64_t> prefixes, core::MonotonicTime now);
 
  private:
@@ -39,28 +37,28 @@
   core::Address address_;
   core::Incarnation incarnation_;
   core::MonotonicTime started_at_;
-  std::shared_ptr<ReplicaLoad> load_;  ///< may outlive its pool at a stop
+  std::shared_ptr<ReplicaLoad> load_;  ///< shared, as it may outlive its pool during shutdown
 };
 
 class ReplicaPool {
  public:
-  /// \param size most replicas used at once
+  /// \param size maximum number of replicas used at the same time
   ReplicaPool(SubsetOwner owner, std::size_t size, AdaptiveLimitOptions limit,
               std::unique_ptr<ReplicaChooser> chooser);
 
-  /// Takes in \p replicas, which \p table owns.
+  /// Replaces the replicas with \p replicas, which \p table owns.
   /// \return addresses that this thread no longer uses.
   std::vector<core::Address> update(std::shared_ptr<const RoutingTable> table,
                                     std::span<const Replica> replicas);
-  /// \return the table that the pool was last updated with; null before.
+  /// \return the table of the last update; null before the first.
   const RoutingTable* table() const { return table_.get(); }
 
-  /// Chooses a replica for \p request, and counts the attempt as in flight there.
-  /// \return kUnavailable when none is there, kOverloaded when all are full.
+  /// Chooses a replica for \p request and counts the attempt as in flight there.
+  /// \return kUnavailable if there is no usable replica, kOverloaded if all are full.
   core::Result<ChosenReplica> choose(const ChoiceRequest& request, core::MonotonicTime now);
 
   RetryBudget& retry_budget() { return retry_budget_; }
-  /// Most requests in flight towards each replica, as the template says.
+  /// Sets the maximum number of requests in flight to each replica, from the template.
   void set_largest_limit(std::uint32_t largest);
 
  private:
--- a/src/routing/retry_budget.hpp
+++ b/src/routing/retry_budget.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Bounds retries to a share of first attempts, so that a failing back end is
-/// not buried under repeats. Plain state, owned by one thread.
+/// Limits retries to a share of first attempts, so that retries do not overload a failing back end.
+/// Not thread-safe.
 #pragma once
 
 #include <array>
@@ -13,11 +13,11 @@
 struct RetryBudgetOptions {
   /// Retries allowed per first attempt within the window.
   double ratio = 0.1;
-  /// Retries allowed within the window however few first attempts there are.
+  /// Retries allowed within the window regardless of the number of first attempts.
   std::uint32_t minimum = 3;
   core::Duration window = std::chrono::seconds(10);
-  /// Whether the minimum comes on top of the share; else the larger of the two is allowed, so that
-  /// many first attempts get no more than the share.
+  /// Whether the minimum is added to the share. Otherwise the larger of the two applies, so that
+  /// with many first attempts only the share is allowed.
   bool adds_minimum = true;
 };
 
@@ -26,8 +26,8 @@
   explicit RetryBudget(RetryBudgetOptions options = {}) : options_(options) {}
 
   void first_attempt(core::MonotonicTime now);
-  /// Takes one retry out of the budget.
-  /// \return whether there was one left.
+  /// Takes one retry from the budget.
+  /// \return whether one was available.
   bool try_retry(core::MonotonicTime now);
   void set_ratio(double ratio) { options_.ratio = ratio; }
 
--- a/src/routing/routing_table.hpp
+++ b/src/routing/routing_table.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// What traffic knows of the back ends: an immutable table that the control
-/// thread builds from the machine list, the watchers' digests and drain marks,
-/// and publishes as a snapshot.
+/// Routing view of the back ends: an immutable snapshot that the control thread builds from the
+/// machine list, the watchers' digests and drain marks.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +17,14 @@
 
 enum class ReplicaState {
   kUsable,
-  kSuspect,  ///< no sign of life lately: used only when nothing else is left
-  kLeaving,  ///< gets no new work; what runs there may finish
-  kDown,     ///< gets nothing
+  kSuspect,  ///< no recent sign of life; used only if no other replica is left
+  kLeaving,  ///< gets no new work; running requests may finish
+  kDown,     ///< gets no requests
 };
 
-/// A replica's load and cache as a watcher last read them; always somewhat old.
+/// A replica's load and cache contents as last read by a watcher; always somewhat outdated.
 struct ReplicaDigest {
-  core::MonotonicTime taken_at;  ///< on this process's clock
+  core::MonotonicTime taken_at;  ///< on the clock of this process
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t max_running = 0;
@@ -33,7 +32,7 @@
   double kv_used_ratio = 0;
   core::WeightVersion version;
   bool swapping = false;
-  /// Hashes of cached prompt prefixes, sorted; a bounded sample of what is there.
+  /// Hashes of cached prompt prefixes, sorted; a bounded sample.
   std::vector<std::uint64_t> cached_prefixes;
 };
 
@@ -44,14 +43,14 @@
   core::RegionName region;
   core::Incarnation incarnation;
   ReplicaState state = ReplicaState::kUsable;
-  std::optional<ReplicaDigest> digest;  ///< nothing until a watcher has reported
+  std::optional<ReplicaDigest> digest;  ///< empty until a watcher has reported
 };
 
-/// Replicas of each model and service, by name, each list in order of id.
+/// Replicas of each model and service by name, each list sorted by id.
 struct RoutingTable {
   std::uint64_t generation = 0;
-  /// The table is not to be used for new work after this: its process may have
-  /// been frozen and not know what has happened since.
+  /// Time after which the table must not be used for new work: this process may have been suspended
+  /// and have missed changes.
   core::MonotonicTime current_until = core::MonotonicTime::max();
   std::map<core::ModelName, std::vector<Replica>> models;
   std::map<core::ServiceName, std::vector<Replica>> services;
--- a/src/routing/second_call_policy.hpp
+++ b/src/routing/second_call_policy.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// When a request whose call takes unusually long gets another one, at another replica. Shared by
-/// all senders that may repeat a call; each bounds it by a routing::RetryBudget. Plain code.
+/// Decides when a request whose call takes unusually long gets another call at a different replica.
+/// Used by all senders that may repeat a call; each limits it with a routing::RetryBudget.
 /// docs/design/second-calls.md
 #pragma once
 
@@ -10,52 +10,54 @@
 
 namespace stoneport::routing {
 
-/// The calls that one request has out now.
-struct CallsOut {
-  core::Duration newest_taken{};  ///< since the newest one was sent
-  core::Duration usual{};         ///< a call is unusually long after that
-  bool newest_is_silent = false;  ///< its replica has answered nobody since it was sent
+/// The outstanding calls of one request.
+struct OutstandingCalls {
+  core::Duration newest_taken{};  ///< time since the newest call was sent
+  core::Duration usual{};         ///< time after which a call is unusually long
+  bool newest_is_silent = false;  ///< its replica has answered no request since the call was sent
   std::size_t out = 0;
-  std::size_t most = 0;  ///< that it may have out at once
+  std::size_t max_calls = 0;  ///< maximum number of outstanding calls
 };
 
-/// What the replicas that a request has no call at could do for it.
-struct Elsewhere {
-  bool is_sound = false;      ///< one takes work and is not suspect
-  bool has_place = false;     ///< one has a free place that such a call may take
-  bool has_answered = false;  ///< one has answered a call since the request's newest was sent
+/// State of the replicas at which the request has no call.
+struct OtherReplicas {
+  bool is_sound = false;   ///< at least one accepts work and is not suspect
+  bool has_place = false;  ///< at least one has a free slot for such a call
+  /// At least one has answered a call since the newest call of the request was sent.
+  bool has_answered = false;
 };
 
 enum class NextCall {
   kWait,
-  kBeside,   ///< another one beside those that are out
-  kReplace,  ///< the newest one is ended, and makes room for another one
+  kSendSecond,  ///< send another call in addition to the outstanding ones
+  kReplace,     ///< cancel the newest call and send another one instead
 };
 
-/// \return whether the newest call takes unusually long; nothing else is worth a look before.
-bool is_overdue(const CallsOut& calls);
+/// \return whether the newest call takes unusually long; only then is next_call() worth evaluating.
+bool is_overdue(const OutstandingCalls& calls);
 
-/// \return what the request is to do now, as far as the budget allows it.
-NextCall next_call(const CallsOut& calls, const Elsewhere& elsewhere);
+/// \return the action for the request, subject to the budget.
+NextCall next_call(const OutstandingCalls& calls, const OtherReplicas& elsewhere);
 
 struct SilenceSettings {
-  /// Silence for this many usual times tells that a replica is silent: a call that is unusually
-  /// long by chance, as one in twenty is, seldom takes twice as long.
-  double telling_in_usual_times = 2;
-  /// Calls in a row, none of them answered, after which shorter silence tells it too.
-  std::size_t telling_calls = 2;
+  /// Number of usual times without an answer after which a replica counts as silent: a call that is
+  /// unusually long by chance, as one in twenty is, seldom takes twice as long.
+  double silent_after_usual_times = 2;
+  /// Number of consecutive unanswered calls after which a shorter time suffices.
+  std::size_t silent_after_calls = 2;
 };
 
-/// A call that had got no answer when another one of the same request was answered, at a replica
-/// that has answered nobody since it was sent.
+/// A call that was unanswered when another call of the same request was answered, at a replica that
+/// has answered no request since the call was sent.
 struct SilentCall {
   core::Duration taken{};
   core::Duration usual{};
-  core::Duration target{};   ///< of the route; zero when it states none
-  std::size_t in_a_row = 1;  ///< such calls at the replica since its last answer, this one included
+  core::Duration target{};  ///< target latency of the route; zero if it has none
+  /// Such calls at the replica since its last answer, including this one.
+  std::size_t in_a_row = 1;
 };
 
-/// \return whether the replica is to be avoided for it.
-bool is_telling(const SilentCall& call, const SilenceSettings& settings);
+/// \return whether the call shows that the replica is silent and should be avoided.
+bool indicates_silence(const SilentCall& call, const SilenceSettings& settings);
 
 }  // namespace stoneport::routing
--- a/src/routing/service_pressure.cpp
+++ b/src/routing/service_pressure.cpp
@@ -3,7 +3,7 @@
 namespace stoneport::routing {
 
 bool ServicePressure::counts(const Answer& answer, core::MonotonicTime now) const {
-  return now - answer.at < settings_.answer_counts;
+  return now - answer.at < settings_.answer_window;
 }
 
 void ServicePressure::note_answer(const core::ReplicaId& replica, bool was_slow,
@@ -13,7 +13,7 @@
 }
 
 bool ServicePressure::is_full(core::MonotonicTime now) const {
-  return last_refusal_ && now - *last_refusal_ < settings_.refusal_counts;
+  return last_refusal_ && now - *last_refusal_ < settings_.refusal_window;
 }
 
 bool ServicePressure::is_slow(core::MonotonicTime now) const {
@@ -25,8 +25,8 @@
       slow += answer.was_slow ? 1 : 0;
     }
   }
-  return all >= settings_.fewest_replicas &&
-         static_cast<double>(slow) > settings_.most_slow_share * static_cast<double>(all);
+  return all >= settings_.min_replicas &&
+         static_cast<double>(slow) > settings_.max_slow_share * static_cast<double>(all);
 }
 
 }  // namespace stoneport::routing
--- a/src/routing/service_pressure.hpp
+++ b/src/routing/service_pressure.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Whether a service as a whole is slow or full, as one process sees it. A second call would then
-/// take the place of another request. Plain state, owned by one thread.
+/// Detects whether a service as a whole is slow or full, as observed by one process. A second call
+/// would then take capacity from another request. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -13,29 +13,29 @@
 namespace stoneport::routing {
 
 struct ServicePressureSettings {
-  /// How long a refusal for load counts: as long as a client that was told to come back after some
+  /// How long a refusal for load counts: as long as a client that was told to retry after some
   /// hundreds of milliseconds adds to the load.
-  core::Duration refusal_counts = std::chrono::seconds(1);
-  /// How long an answer tells of its replica's speed: slow spells last for half a second to some
-  /// seconds.
-  core::Duration answer_counts = std::chrono::seconds(2);
-  /// Of the replicas that answered lately; with more of them slow the service is.
-  double most_slow_share = 0.5;
-  /// One replica alone tells nothing of the service.
-  std::size_t fewest_replicas = 2;
+  core::Duration refusal_window = std::chrono::seconds(1);
+  /// How long an answer is evidence of its replica's speed: slow phases last from half a second to
+  /// some seconds.
+  core::Duration answer_window = std::chrono::seconds(2);
+  /// Share of the replicas with recent answers; if more of them are slow, the service is slow.
+  double max_slow_share = 0.5;
+  /// Minimum number of replicas; a single replica is no evidence about the service.
+  std::size_t min_replicas = 2;
 };
 
 class ServicePressure {
  public:
   explicit ServicePressure(ServicePressureSettings settings = {}) : settings_(settings) {}
 
-  /// A replica refused a call for load.
+  /// Records that a replica refused a call for load.
   void note_refusal(core::MonotonicTime now) { last_refusal_ = now; }
-  /// \p replica answered, or had not when another one did.
-  /// \param was_slow whether it took longer than such calls usually do
+  /// Records that \p replica answered, or had not answered when another one did.
+  /// \param was_slow whether the call took longer than usual
   void note_answer(const core::ReplicaId& replica, bool was_slow, core::MonotonicTime now);
   bool is_full(core::MonotonicTime now) const;
-  /// \return whether most of the replicas that answered lately were slow.
+  /// \return whether most of the replicas with recent answers were slow.
   bool is_slow(core::MonotonicTime now) const;
 
  private:
@@ -47,7 +47,7 @@
 
   ServicePressureSettings settings_;
   std::optional<core::MonotonicTime> last_refusal_;
-  std::map<core::ReplicaId, Answer> newest_;  ///< of the replicas that answered lately
+  std::map<core::ReplicaId, Answer> newest_;  ///< latest answer of each replica
 };
 
 }  // namespace stoneport::routing
--- a/tests/platform/crashing_request_test.cpp
+++ b/tests/platform/crashing_request_test.cpp
@@ -1,12 +1,10 @@
 /// \file
-/// What users saw: every other caller of a service was refused for seconds, again and again.
-/// One request crashed each replica that ran it. Its client attempt was retried at the other
-/// replicas, its client sent it again at another process, and every few seconds it came anew;
-/// each time all replicas of the service ended within 0.4 s, fifteen under one request.
-/// Cause: nothing was remembered of a request beyond its client attempt, so that each repeat
-/// began anew at every process.
-/// Evidence: the processes' logs showed one request id for at most two of the ends, and, once
-/// they named contents, one content for all of them.
+/// A request that crashes each replica that runs it must not take down its service. Its attempt is
+/// retried at other replicas, its client sends it again to another process, and every few seconds
+/// it is sent anew. Without a record that outlives the attempt and is shared between processes,
+/// each repetition starts from zero: all replicas of a service crashed within 0.4 s, repeatedly, up
+/// to fifteen for one request, and every other caller was refused for seconds. Request ids differ
+/// between repetitions, so that crashes must be attributed by content.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <functional>
@@ -23,19 +21,19 @@
 
 constexpr std::size_t kProcesses = 3;
 constexpr std::size_t kReplicas = 3;
-/// A machine that has been in touch for so long knows what the others do.
+/// Time after which a connected machine has the same state as the others.
 constexpr milliseconds kContact{3000};
 constexpr const char* kCulprit = "crash on this property";
 constexpr const char* kPopular = "asked for by everybody";
 
 class CrashingRequestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CrashingRequestTest);
-  CPPUNIT_TEST(it_ends_three_replicas_at_most_and_no_bystander_is_refused);
-  CPPUNIT_TEST(ends_of_replicas_that_keep_their_names_are_counted_apart);
-  CPPUNIT_TEST(processes_that_start_know_what_is_held_back);
+  CPPUNIT_TEST(it_crashes_at_most_three_replicas_and_no_other_request_is_refused);
+  CPPUNIT_TEST(crashes_of_replicas_with_reused_names_are_counted_separately);
+  CPPUNIT_TEST(started_processes_know_the_held_requests);
   CPPUNIT_TEST(it_is_known_after_all_processes_went_at_once);
-  CPPUNIT_TEST(operators_see_it_and_let_it_go);
-  CPPUNIT_TEST(an_item_that_crashes_replicas_leaves_its_job_whole);
+  CPPUNIT_TEST(operators_can_see_and_release_it);
+  CPPUNIT_TEST(a_crashing_item_does_not_affect_the_rest_of_its_job);
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
@@ -59,9 +57,9 @@
       return call;
     }
 
-    /// Sends what everybody asks for and requests of their own to all processes, beside the
-    /// crashing one where \p culprit_at names a process.
-    /// \return the answer to the crashing one.
+    /// Sends popular and unique requests to all processes, and the crashing one to the process \p
+    /// culprit_at, if given.
+    /// \return the answer to the crashing request.
     HttpAnswer step(std::optional<std::size_t> culprit_at) {
       std::vector<HttpCall> calls;
       for (std::size_t process = 0; process < kProcesses; ++process) {
@@ -98,8 +96,8 @@
       steps_for(milliseconds(2500));
     }
 
-    /// \return the most replicas of the service that were ended at once.
-    std::size_t most_ended_at_once() {
+    /// \return the maximum number of the service's replicas that were down at the same time.
+    std::size_t max_crashed_at_once() {
       const std::vector<ReplicaCrash> crashes = platform.crashes();
       std::size_t most = 0;
       for (const ReplicaCrash& last : crashes) {
@@ -120,7 +118,7 @@
       CPPUNIT_ASSERT_EQUAL(std::size_t{3}, platform.crashes().size());
     }
 
-    /// Sends the crashing request to \p process alone. \return the answer.
+    /// Sends only the crashing request to \p process. \return the answer.
     HttpAnswer send_culprit(std::size_t process) {
       return platform.http().send_all({call_of(process, kCulprit)}, nullptr).front();
     }
@@ -144,19 +142,20 @@
     std::vector<std::string> failures;
   };
 
-  void it_ends_three_replicas_at_most_and_no_bystander_is_refused() {
+  void it_crashes_at_most_three_replicas_and_no_other_request_is_refused() {
     World world;
-    // Processes that have just started do not know one another yet, so that none hears which
-    // replica another one keeps: one of four runs had two suspects meet within the first second.
+    // Processes that have just started are not connected yet and do not receive each other's
+    // reservations: without this wait two suspects met on a replica within the first second in one
+    // of four runs.
     world.steps_for(kContact);
     for (std::size_t round = 0; round < 4; ++round) {
       world.round(round);
     }
     CPPUNIT_ASSERT_MESSAGE(
-        std::to_string(world.platform.crashes().size()) + " replicas ended under one request",
+        std::to_string(world.platform.crashes().size()) + " replicas crashed on one request",
         world.platform.crashes().size() <= 3);
-    CPPUNIT_ASSERT_MESSAGE("all replicas were ended at once",
-                           world.most_ended_at_once() < kReplicas);
+    CPPUNIT_ASSERT_MESSAGE("all replicas were down at once",
+                           world.max_crashed_at_once() < kReplicas);
     CPPUNIT_ASSERT_MESSAGE(world.told_failures(), world.failures.empty());
     const Clock::time_point sent_at = Clock::now();
     const HttpAnswer refused = world.step(0);
@@ -165,8 +164,8 @@
     CPPUNIT_ASSERT(refused.headers.find("Retry-After").has_value());
   }
 
-  /// A replica that is back under its name has another life: its next end is another one.
-  void ends_of_replicas_that_keep_their_names_are_counted_apart() {
+  /// A restarted replica with the same name is a new incarnation, whose crash counts separately.
+  void crashes_of_replicas_with_reused_names_are_counted_separately() {
     World world;
     world.platform.on_loop([&] {
       for (std::size_t index = 0; index < kReplicas; ++index) {
@@ -181,11 +180,11 @@
     CPPUNIT_ASSERT_MESSAGE(world.told_failures(), world.failures.empty());
   }
 
-  void processes_that_start_know_what_is_held_back() {
+  void started_processes_know_the_held_requests() {
     World world;
     world.hold_back();
     world.platform.kill(2);
-    // The row is gone: the other processes tell it.
+    // The row is missing: the other processes announce it.
     world.platform.on_loop([&] {
       support::FakeRecordStore& rows = world.platform.store().rows();
       for (const auto& [content, row] : rows.table("held_requests")) {
@@ -217,7 +216,7 @@
     }
   }
 
-  void operators_see_it_and_let_it_go() {
+  void operators_can_see_and_release_it() {
     World world;
     world.hold_back();
     const core::Address page = world.platform.metrics_page(1);
@@ -226,7 +225,7 @@
                                    [](const auto& one) { return one["terms"] == "held"; });
     CPPUNIT_ASSERT(held != list.end());
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, (*held)["ended"].size());
-    // Clients' listeners do not show the page.
+    // The page is not served on clients' listeners.
     CPPUNIT_ASSERT_EQUAL(
         404u, world.platform.http().get(world.platform.directory(1), "/suspects").status);
     const std::string content = (*held)["content"];
@@ -238,8 +237,8 @@
     CPPUNIT_ASSERT_MESSAGE("it runs again at every process", world.platform.crashes().size() > 3);
   }
 
-  /// The other items become whole; the one that is held back waits until its route gives it up.
-  void an_item_that_crashes_replicas_leaves_its_job_whole() {
+  /// The other items complete; the held one waits until its route gives it up.
+  void a_crashing_item_does_not_affect_the_rest_of_its_job() {
     constexpr std::size_t kItems = 12;
     PlatformStandIn platform({kProcesses, 4, 2});
     nlohmann::json job = nlohmann::json::parse(PlatformStandIn::job_body("job", kItems));
@@ -254,7 +253,7 @@
     for (const nlohmann::json& result : results) {
       CPPUNIT_ASSERT_EQUAL(std::string("completed"), result["state"].get<std::string>());
     }
-    // Known to the next coordinator too.
+    // The next coordinator knows it too.
     const std::optional<std::size_t> coordinator = platform.coordinator();
     CPPUNIT_ASSERT(coordinator.has_value());
     platform.kill(*coordinator);
--- a/tests/platform/evacuation_test.cpp
+++ b/tests/platform/evacuation_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Real processes while the operator evacuates a zone: how soon nothing goes there, and what
-/// holds while the store is lost, forgets its history or turns one process away.
+/// Evacuation of a zone with real processes: how soon nothing is sent there, and what applies while
+/// the store is unreachable, loses its history or rejects one process.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "platform/names.hpp"
@@ -17,10 +17,10 @@
 
 class EvacuationProcessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EvacuationProcessTest);
-  CPPUNIT_TEST(in_calm_times_it_is_in_force_within_a_second);
-  CPPUNIT_TEST(a_process_that_the_store_turns_away_hears_of_it);
-  CPPUNIT_TEST(a_history_that_is_lost_in_between_delays_it_a_little);
-  CPPUNIT_TEST(it_holds_while_the_store_is_lost_and_ends_with_its_return);
+  CPPUNIT_TEST(an_evacuation_takes_effect_within_a_second);
+  CPPUNIT_TEST(a_process_rejected_by_the_store_learns_of_it_from_others);
+  CPPUNIT_TEST(a_lost_store_history_delays_it_briefly);
+  CPPUNIT_TEST(it_persists_during_a_store_outage_and_ends_afterwards);
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
@@ -35,14 +35,15 @@
                              begins ? std::make_optional<std::string>("{}") : std::nullopt);
       });
     }
-    /// \return how many zones \p process counts as evacuated.
+    /// \return the number of zones that \p process counts as evacuated.
     int evacuated_at(std::size_t process) {
       const std::string page = platform.http().get(platform.metrics_page(process), "/metrics").body;
       const std::string name = "\nstoneport_evacuated_zones ";
       const std::size_t found = page.find(name);
       return found == std::string::npos ? -1 : std::stoi(page.substr(found + name.size()));
     }
-    /// \return the time until all of \p processes count \p zones; fails after \p limit.
+    /// \return the time until all of \p processes count \p zones as evacuated; fails after \p
+    /// limit.
     core::Duration time_until(std::vector<std::size_t> processes, int zones, core::Duration limit) {
       const Clock::time_point began = Clock::now();
       for (const std::size_t process : processes) {
@@ -73,7 +74,7 @@
     int sent_ = 0;
   };
 
-  void in_calm_times_it_is_in_force_within_a_second() {
+  void an_evacuation_takes_effect_within_a_second() {
     World world;
     for (int round = 0; round < 2; ++round) {
       world.evacuate(true);
@@ -91,7 +92,7 @@
     }
   }
 
-  void a_process_that_the_store_turns_away_hears_of_it() {
+  void a_process_rejected_by_the_store_learns_of_it_from_others() {
     World world;
     world.platform.refuse_at_store(2, 503);
     std::this_thread::sleep_for(milliseconds(1200));
@@ -103,7 +104,7 @@
     world.platform.refuse_at_store(2, 0);
   }
 
-  void a_history_that_is_lost_in_between_delays_it_a_little() {
+  void a_lost_store_history_delays_it_briefly() {
     World world;
     world.platform.on_loop([&] { world.platform.store().rows().faults.history_lost = true; });
     world.evacuate(true);
@@ -114,12 +115,12 @@
     world.platform.on_loop([&] { world.platform.store().rows().faults.history_lost = false; });
   }
 
-  void it_holds_while_the_store_is_lost_and_ends_with_its_return() {
+  void it_persists_during_a_store_outage_and_ends_afterwards() {
     World world;
     world.evacuate(true);
     world.time_until({0, 1, 2}, 1, milliseconds(1000));
     world.platform.on_loop([&] { world.platform.store().switches.refuse = true; });
-    // Calls of the feed that were taken in before are still answered, up to 800 ms later.
+    // Feed calls accepted earlier are still answered, up to 800 ms later.
     std::this_thread::sleep_for(milliseconds(1000));
     world.evacuate(false);
     std::this_thread::sleep_for(milliseconds(1500));
--- a/tests/platform/replica_cold_answer_test.cpp
+++ b/tests/platform/replica_cold_answer_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a replica's answers tell of how long it is still cold.
+/// Parsing of the remaining cold time in a replica's answers.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/io_context.hpp>
@@ -13,11 +13,11 @@
 
 class ReplicaColdAnswerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaColdAnswerTest);
-  CPPUNIT_TEST(an_answer_that_says_cold_is_passed_on);
-  CPPUNIT_TEST(an_answer_of_another_replica_is_not);
+  CPPUNIT_TEST(a_cold_answer_is_reported);
+  CPPUNIT_TEST(an_answer_of_another_replica_is_ignored);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Answers each request with one status and one text for how long it is cold.
+  /// Answers each request with a fixed status and a fixed value for the remaining cold time.
   class Replica : public http::RequestHandler {
    public:
     boost::asio::awaitable<void> handle(const http::RequestHead& request, http::BodySource& body,
@@ -63,7 +63,7 @@
     std::vector<std::pair<std::string, core::Duration>> heard;
   };
 
-  void an_answer_that_says_cold_is_passed_on() {
+  void a_cold_answer_is_reported() {
     const std::vector<std::pair<std::string, std::vector<int>>> cases = {
         {"", {}}, {"0", {}}, {"soon", {}}, {"-5", {}}, {"1500", {1500}}};
     for (const auto& [said, expected] : cases) {
@@ -78,7 +78,7 @@
     }
   }
 
-  void an_answer_of_another_replica_is_not() {
+  void an_answer_of_another_replica_is_ignored() {
     World world;
     world.replica.cold = "1500";
     world.replica.status = 421;
--- a/tests/platform/slow_readers_test.cpp
+++ b/tests/platform/slow_readers_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Clients that ask for large answers and read nothing, beside others, on a real process of a small
-/// machine.
+/// Clients that request large answers and read nothing, together with ordinary clients, on a real
+/// process with little memory.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/io_context.hpp>
@@ -19,13 +19,13 @@
 
 class SlowReadersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SlowReadersTest);
-  CPPUNIT_TEST(a_small_machine_bears_eighty_clients_that_do_not_read);
+  CPPUNIT_TEST(memory_is_bounded_with_eighty_clients_that_do_not_read);
   CPPUNIT_TEST(a_small_machine_bears_eighty_large_answers_at_once);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint64_t kMachineMb = 120;
 
-  /// Asks for an answer and leaves it on the wire.
+  /// Requests an answer and leaves it unread.
   static tcp::socket ask(asio::io_context& context, const core::Address& front, int reader) {
     constexpr int kSmallWindow = 4096;
     tcp::socket socket(context, tcp::v4());
@@ -39,18 +39,18 @@
     return socket;
   }
 
-  /// One after the other, as far apart as an answer takes to come from its replica.
-  void a_small_machine_bears_eighty_clients_that_do_not_read() {
-    // Kernel buffers hold up to 4 MB of each.
-    bear_slow_readers(8'000'000, std::chrono::milliseconds(50));
+  /// The requests are sent one after another, at intervals of a replica's answer time.
+  void memory_is_bounded_with_eighty_clients_that_do_not_read() {
+    // Kernel buffers hold up to 4 MB per client.
+    check_slow_readers(8'000'000, std::chrono::milliseconds(50));
   }
-  /// The answers come from the replicas at the same moment, before any client is known to be slow.
+  /// All answers arrive from the replicas at once, before any client is known to be slow.
   void a_small_machine_bears_eighty_large_answers_at_once() {
-    bear_slow_readers(2'000'000, std::chrono::milliseconds(0));
+    check_slow_readers(2'000'000, std::chrono::milliseconds(0));
   }
 
-  /// All 80 answers together have more than the machine's memory.
-  static void bear_slow_readers(std::size_t answer_bytes, std::chrono::milliseconds apart) {
+  /// All 80 answers together exceed the machine's memory.
+  static void check_slow_readers(std::size_t answer_bytes, std::chrono::milliseconds apart) {
     PlatformStandIn::Options options;
     options.processes = 1;
     options.memory_mb = kMachineMb;
--- a/tests/unit/eligibility/cold_pace_test.cpp
+++ b/tests/unit/eligibility/cold_rate_limiter_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What one process may send to cold replicas, over tables of budgets, terms and members.
-#include "eligibility/cold_pace.hpp"
+/// Rate limits of one process for cold replicas, over tables of budgets, terms and members.
+#include "eligibility/cold_rate_limiter.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,18 +11,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class ColdPaceTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ColdPaceTest);
+class ColdRateLimiterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ColdRateLimiterTest);
   CPPUNIT_TEST(budgets_of_two_holders_and_differing_views_stay_below_the_bound);
-  CPPUNIT_TEST(a_service_without_a_limit_is_not_paced);
-  CPPUNIT_TEST(a_cold_replica_gets_texts_one_by_one);
-  CPPUNIT_TEST(a_replica_taken_for_warm_is_capped_too);
-  CPPUNIT_TEST(a_new_holder_and_an_unsure_one_send_less);
+  CPPUNIT_TEST(a_service_without_a_limit_is_not_limited);
+  CPPUNIT_TEST(texts_to_a_cold_replica_are_spaced);
+  CPPUNIT_TEST(a_replica_assumed_to_be_warm_is_limited_too);
+  CPPUNIT_TEST(new_and_unconfirmed_term_holders_send_less);
   CPPUNIT_TEST(a_few_front_ends_send_to_a_cold_replica);
   CPPUNIT_TEST(a_newly_chosen_sender_waits_for_the_former_ones);
   CPPUNIT_TEST(a_process_that_knows_no_members_sends_nothing_there);
   CPPUNIT_TEST(a_replica_may_be_presumed_cold);
-  CPPUNIT_TEST(an_answer_may_tell_that_a_replica_is_cold);
+  CPPUNIT_TEST(an_answer_may_report_a_cold_replica);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr ColdBound kBound{1.5, 5};
@@ -36,24 +36,25 @@
   static ColdStarts starts(double rate = 9.5) {
     return {{kTexts, {seconds(3), rate, false}}, {kBoth, {seconds(3), rate, true}}};
   }
-  static ColdPace pace() {
-    ColdPace made;
+  static ColdRateLimiter limiter() {
+    ColdRateLimiter made;
     made.replace_limits(starts());
     made.replace_bound(kBound);
     made.begin_term(kStart);
-    made.keep_sure_until(kLater);
+    made.set_term_confirmed_until(kLater);
     return made;
   }
-  static PacedReplica replica(const core::ServiceName& service, core::MonotonicTime cold_until) {
+  static RateLimitedReplica replica(const core::ServiceName& service,
+                                    core::MonotonicTime cold_until) {
     return {kReplica, service, cold_until};
   }
-  /// \return how many requests \p sender gets through within \p length, trying every 5 ms.
-  static int sent_within(ColdPace& pace, const PacedReplica& to, Sender sender,
+  /// \return how many requests \p sender may send within \p length, with one attempt every 5 ms.
+  static int sent_within(ColdRateLimiter& limiter, const RateLimitedReplica& to, Sender sender,
                          core::Duration length, core::MonotonicTime from = kStart) {
     int sent = 0;
     for (core::MonotonicTime now = from; now < from + length; now += milliseconds(5)) {
-      if (pace.may_send(to, sender, now)) {
-        pace.note_sent(to, sender, now);
+      if (limiter.may_send(to, sender, now)) {
+        limiter.note_sent(to, sender, now);
         ++sent;
       }
     }
@@ -74,68 +75,69 @@
         const ColdBudget budget = cold_budget({seconds(3), rate, takes_clients}, kBound);
         const std::size_t front_ends = budget.front_end_senders;
         CPPUNIT_ASSERT_EQUAL(takes_clients, front_ends > 0);
-        CPPUNIT_ASSERT(budget.coordinator_most >= budget.coordinator_most_unsure);
-        // Three views of who lives, and two processes that coordinate.
-        CPPUNIT_ASSERT(budget.coordinator_most + budget.coordinator_most_unsure + 3 * front_ends <=
+        CPPUNIT_ASSERT(budget.coordinator_max >= budget.coordinator_max_unconfirmed);
+        // Three membership views, and two processes that coordinate.
+        CPPUNIT_ASSERT(budget.coordinator_max + budget.coordinator_max_unconfirmed +
+                           3 * front_ends <=
                        allowed);
-        CPPUNIT_ASSERT(budget.cold_most + 3 * front_ends <= allowed);
+        CPPUNIT_ASSERT(budget.coordinator_max_cold + 3 * front_ends <= allowed);
       }
     }
   }
 
-  void a_service_without_a_limit_is_not_paced() {
-    ColdPace unlimited;
+  void a_service_without_a_limit_is_not_limited() {
+    ColdRateLimiter unlimited;
     CPPUNIT_ASSERT_EQUAL(
         200, sent_within(unlimited, replica(kTexts, kLater), Sender::kCoordinator, seconds(1)));
   }
 
-  void a_cold_replica_gets_texts_one_by_one() {
-    ColdPace one = pace();
-    const PacedReplica cold = replica(kTexts, kLater);
+  void texts_to_a_cold_replica_are_spaced() {
+    ColdRateLimiter one = limiter();
+    const RateLimitedReplica cold = replica(kTexts, kLater);
     CPPUNIT_ASSERT(one.may_send(cold, Sender::kCoordinator, kStart));
     one.note_sent(cold, Sender::kCoordinator, kStart);
     CPPUNIT_ASSERT(!one.may_send(cold, Sender::kCoordinator, kStart + milliseconds(100)));
     CPPUNIT_ASSERT(one.may_send(cold, Sender::kCoordinator, kStart + milliseconds(106)));
-    ColdPace two = pace();
+    ColdRateLimiter two = limiter();
     const int sent = sent_within(two, cold, Sender::kCoordinator, seconds(10));
     CPPUNIT_ASSERT(sent >= 80 && sent <= 95);
   }
 
-  void a_replica_taken_for_warm_is_capped_too() {
-    ColdPace one = pace();
+  void a_replica_assumed_to_be_warm_is_limited_too() {
+    ColdRateLimiter one = limiter();
     const ColdBudget budget = cold_budget(starts().at(kTexts), kBound);
     const int sent = sent_within(one, replica(kTexts, {}), Sender::kCoordinator, seconds(1));
-    CPPUNIT_ASSERT_EQUAL(static_cast<int>(budget.coordinator_most), sent);
-    // What it got before it is known to be cold counts as well.
+    CPPUNIT_ASSERT_EQUAL(static_cast<int>(budget.coordinator_max), sent);
+    // Requests sent before it is known to be cold count as well.
     CPPUNIT_ASSERT(
         !one.may_send(replica(kTexts, kLater), Sender::kCoordinator, kStart + milliseconds(1010)));
   }
 
-  void a_new_holder_and_an_unsure_one_send_less() {
+  void new_and_unconfirmed_term_holders_send_less() {
     const ColdBudget budget = cold_budget(starts().at(kTexts), kBound);
-    const int most = static_cast<int>(budget.coordinator_most_unsure);
-    ColdPace begun = pace();
+    const int most = static_cast<int>(budget.coordinator_max_unconfirmed);
+    ColdRateLimiter begun = limiter();
     begun.begin_term(kStart + seconds(2));
-    begun.keep_sure_until(kLater);
+    begun.set_term_confirmed_until(kLater);
     CPPUNIT_ASSERT_EQUAL(most,
                          sent_within(begun, replica(kTexts, {}), Sender::kCoordinator, seconds(1)));
-    ColdPace unsure = pace();
-    unsure.keep_sure_until(kStart);
+    ColdRateLimiter unsure = limiter();
+    unsure.set_term_confirmed_until(kStart);
     CPPUNIT_ASSERT_EQUAL(
         most, sent_within(unsure, replica(kTexts, {}), Sender::kCoordinator, seconds(1)));
-    ColdPace slow = pace();
-    slow.keep_sure_until(kStart);
+    ColdRateLimiter slow = limiter();
+    slow.set_term_confirmed_until(kStart);
     CPPUNIT_ASSERT(sent_within(slow, replica(kTexts, kLater), Sender::kCoordinator, seconds(10)) <=
                    48);
   }
 
   void a_few_front_ends_send_to_a_cold_replica() {
     const ColdBudget budget = cold_budget(starts().at(kBoth), kBound);
-    const PacedReplica cold = replica(kBoth, kLater);
+    const RateLimitedReplica cold = replica(kBoth, kLater);
     const std::vector<std::string> all = members(40);
     std::size_t senders = 0;
     for (const std::string& self : all) {
-      ColdPace one = pace();
+      ColdRateLimiter one = limiter();
       one.replace_members(self, all, kStart);
       CPPUNIT_ASSERT_EQUAL(0, sent_within(one, cold, Sender::kFrontEnd, seconds(2)));
       const int sent = sent_within(one, cold, Sender::kFrontEnd, seconds(1), kStart + seconds(2));
@@ -146,7 +148,7 @@
   }
 
   void a_newly_chosen_sender_waits_for_the_former_ones() {
-    const PacedReplica cold = replica(kBoth, kLater);
+    const RateLimitedReplica cold = replica(kBoth, kLater);
     const std::vector<std::string> all = members(40);
     const std::size_t count = cold_budget(starts().at(kBoth), kBound).front_end_senders;
     std::vector<std::string> rest;
@@ -159,7 +161,7 @@
     const core::MonotonicTime change = kStart + seconds(10);
     std::size_t new_senders = 0;
     for (const std::string& self : rest) {
-      ColdPace one = pace();
+      ColdRateLimiter one = limiter();
       one.replace_members(self, all, kStart);
       one.replace_members(self, rest, change);
       CPPUNIT_ASSERT_EQUAL(0,
@@ -170,8 +172,8 @@
   }
 
   void a_process_that_knows_no_members_sends_nothing_there() {
-    ColdPace alone = pace();
-    const PacedReplica cold = replica(kBoth, kLater);
+    ColdRateLimiter alone = limiter();
+    const RateLimitedReplica cold = replica(kBoth, kLater);
     CPPUNIT_ASSERT_EQUAL(0, sent_within(alone, cold, Sender::kFrontEnd, seconds(5)));
     alone.replace_members("n0", {}, kStart);
     CPPUNIT_ASSERT_EQUAL(0, sent_within(alone, cold, Sender::kFrontEnd, seconds(5)));
@@ -180,25 +182,25 @@
 
   void a_replica_may_be_presumed_cold() {
     SendGate gate;
-    gate.cold_pace().replace_limits(starts());
-    gate.cold_pace().replace_bound(kBound);
+    gate.cold_rate_limiter().replace_limits(starts());
+    gate.cold_rate_limiter().replace_bound(kBound);
     const core::ReplicaId other("other");
     const Destination there{kReplica, kTexts, kZone, {}};
     const Destination elsewhere{other, kTexts, kZone, {}};
-    gate.cold_pace().presume_cold(kReplica, kStart + seconds(3));
-    gate.cold_pace().presume_cold(kReplica, kStart + seconds(1));  // the later one holds
+    gate.cold_rate_limiter().presume_cold(kReplica, kStart + seconds(3));
+    gate.cold_rate_limiter().presume_cold(kReplica, kStart + seconds(1));  // the later time applies
     CPPUNIT_ASSERT(gate.is_cold(there, kStart + milliseconds(2900)));
     CPPUNIT_ASSERT(!gate.is_cold(there, kStart + seconds(3)));
     CPPUNIT_ASSERT(!gate.is_cold(elsewhere, kStart));
     const Origin coordinator{Sender::kCoordinator, nullptr};
     gate.note_sent(there, coordinator, kStart);
     const core::MonotonicTime soon = kStart + milliseconds(20);
-    CPPUNIT_ASSERT(gate.objection(there, coordinator, soon) == Objection::kColdPace);
-    CPPUNIT_ASSERT(!gate.objection(elsewhere, coordinator, soon));
+    CPPUNIT_ASSERT(gate.block_reason(there, coordinator, soon) == BlockReason::kColdRateLimit);
+    CPPUNIT_ASSERT(!gate.block_reason(elsewhere, coordinator, soon));
   }
 
-  void an_answer_may_tell_that_a_replica_is_cold() {
-    ColdPace one = pace();
+  void an_answer_may_report_a_cold_replica() {
+    ColdRateLimiter one = limiter();
     one.presume_cold(kReplica, kStart + seconds(2));
     CPPUNIT_ASSERT(one.is_cold(replica(kTexts, {}), kStart + seconds(1)));
     one.forget(kReplica);
@@ -206,6 +208,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ColdPaceTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ColdRateLimiterTest);
 
 }  // namespace stoneport::eligibility
--- a/tests/unit/eligibility/cold_pace_walk_test.cpp
+++ b/tests/unit/eligibility/cold_rate_limiter_walk_test.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// Random schedules of many processes that send to one replica as fast as the gate lets them:
-/// it turns cold at any moment, which each process learns up to two seconds late; the term
-/// changes hands, also away from a holder that does not know; processes restart and differ about
-/// who lives. In no second, however it slides, does the cold replica get more than the bound.
+/// Random schedules of many processes that send to one replica as fast as the gate allows. The
+/// replica becomes cold at any moment, which each process learns up to two seconds late; the term
+/// changes hands, also without the holder's knowledge; processes restart and have differing
+/// membership views. No sliding window of one second may contain more requests to the cold replica
+/// than the bound.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -11,7 +12,7 @@
 #include <memory>
 
 #include "core/random.hpp"
-#include "eligibility/cold_pace.hpp"
+#include "eligibility/cold_rate_limiter.hpp"
 
 namespace stoneport::eligibility {
 
@@ -27,19 +28,19 @@
 constexpr core::Duration kLength = seconds(20);
 constexpr core::Duration kColdLength = seconds(3);
 constexpr core::Duration kLatestNews = seconds(2);
-/// As the coordinator's settings: how old a confirmed heartbeat may be, and how long a new
-/// holder waits for the last sends of the former one.
+/// As in the coordinator's settings: maximum age of a confirmed heartbeat, and how long a new
+/// holder waits for the last sends of the previous one.
 constexpr core::Duration kConfirmation = seconds(1);
 constexpr core::Duration kLastSends = milliseconds(1100);
-/// A holder that hears nothing of the store places nothing more after that.
+/// A holder without news from the store places nothing more after this time.
 constexpr core::Duration kOldestView = milliseconds(2200);
 constexpr const char* kSeedVariable = "STONEPORT_COLD_WALK_SEED";
 constexpr ColdBound kBound{1.5, 5};
 constexpr double kRate = 9.5;
 
 struct Process {
-  std::unique_ptr<ColdPace> pace = std::make_unique<ColdPace>();
-  core::MonotonicTime cold_until{};  ///< as far as it knows
+  std::unique_ptr<ColdRateLimiter> pace = std::make_unique<ColdRateLimiter>();
+  core::MonotonicTime cold_until{};  ///< as known to the process
   core::MonotonicTime coordinates_until{};
   std::size_t view = 0;
 };
@@ -52,11 +53,11 @@
       processes_.emplace_back();
       start(index);
     }
-    // All have run for a while when the walk begins.
+    // All processes have run for a while when the walk begins.
     now_ += seconds(5);
   }
 
-  /// \return the most requests that the replica got in any second while it was cold.
+  /// \return the maximum number of requests that the replica received within a second while cold.
   std::size_t run() {
     const core::MonotonicTime end = now_ + kLength;
     take_term(random_.uniform(0, kProcesses - 1));
@@ -72,15 +73,15 @@
  private:
   void start(std::size_t index) {
     Process& process = processes_[index];
-    process.pace = std::make_unique<ColdPace>();
+    process.pace = std::make_unique<ColdRateLimiter>();
     process.pace->replace_limits(starts_);
     process.pace->replace_bound(kBound);
     process.coordinates_until = {};
-    tell_members(index);
+    update_members(index);
   }
 
-  /// The processes of a view take those of one third each for dead.
-  void tell_members(std::size_t index) {
+  /// Updates the members; each view considers a different third of the processes dead.
+  void update_members(std::size_t index) {
     Process& process = processes_[index];
     std::vector<std::string> living;
     for (std::size_t other = 0; other < processes_.size(); ++other) {
@@ -105,7 +106,7 @@
     Process& former = processes_[holder_];
     former.coordinates_until = knows ? now_ : now_ + kOldestView;
     if (knows) {
-      former.pace->keep_sure_until({});
+      former.pace->set_term_confirmed_until({});
     }
     const std::size_t next = (holder_ + random_.uniform(1, kProcesses - 1)) % kProcesses;
     take_term(next);
@@ -125,7 +126,7 @@
     if (random_.chance(0.002)) {
       for (std::size_t index = 0; index < processes_.size(); ++index) {
         processes_[index].view = random_.uniform(0, kViews - 1);
-        tell_members(index);
+        update_members(index);
       }
     }
     if (now_ >= cold_until_ && random_.chance(0.005)) {
@@ -134,7 +135,7 @@
       for (core::MonotonicTime& hears_at : hears_at_) {
         hears_at = now_ + core::from_seconds(random_.fraction() * core::to_seconds(kLatestNews));
       }
-      // Front ends that have not heard send what clients ask for, which the gate does not bound.
+      // Front ends that have not been informed send without a limit by the gate.
       front_ends_from_ = now_ + kLatestNews;
     }
   }
@@ -147,7 +148,7 @@
     }
   }
 
-  void confirm_term() { processes_[holder_].pace->keep_sure_until(now_ + kConfirmation); }
+  void confirm_term() { processes_[holder_].pace->set_term_confirmed_until(now_ + kConfirmation); }
 
   void send() {
     for (Process& process : processes_) {
@@ -162,7 +163,7 @@
   }
 
   void send_as(Process& process, Sender sender) {
-    const PacedReplica to{replica_, service_, process.cold_until};
+    const RateLimitedReplica to{replica_, service_, process.cold_until};
     for (int tries = 0; tries < 3 && process.pace->may_send(to, sender, now_); ++tries) {
       process.pace->note_sent(to, sender, now_);
       sent_.push_back(now_);
@@ -201,12 +202,12 @@
 
 }  // namespace
 
-class ColdPaceWalkTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ColdPaceWalkTest);
-  CPPUNIT_TEST(no_second_of_a_cold_replica_is_over_the_bound);
+class ColdRateLimiterWalkTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ColdRateLimiterWalkTest);
+  CPPUNIT_TEST(a_cold_replica_never_receives_more_than_the_bound);
   CPPUNIT_TEST_SUITE_END();
 
-  void no_second_of_a_cold_replica_is_over_the_bound() {
+  void a_cold_replica_never_receives_more_than_the_bound() {
     const char* const named = std::getenv(kSeedVariable);
     const std::uint64_t first = named == nullptr ? 1 : std::strtoull(named, nullptr, 10);
     const std::uint64_t schedules = named == nullptr ? kSchedules : 1;
@@ -232,6 +233,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ColdPaceWalkTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ColdRateLimiterWalkTest);
 
 }  // namespace stoneport::eligibility
--- a/tests/unit/eligibility/evacuations_test.cpp
+++ b/tests/unit/eligibility/evacuations_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which zones count as evacuated, when the store and other processes tell of them in any order.
+/// Which zones count as evacuated if the store and other processes report them in any order.
 #include "eligibility/evacuations.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,10 +10,10 @@
 
 class EvacuationsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EvacuationsTest);
-  CPPUNIT_TEST(two_zones_come_and_go_one_by_one);
-  CPPUNIT_TEST(the_word_of_the_later_revision_holds);
-  CPPUNIT_TEST(without_a_newer_word_the_last_one_known_holds);
-  CPPUNIT_TEST(others_are_told_of_each_begin_and_end);
+  CPPUNIT_TEST(zones_are_evacuated_and_reopened_independently);
+  CPPUNIT_TEST(the_later_revision_applies);
+  CPPUNIT_TEST(without_newer_information_the_last_state_remains);
+  CPPUNIT_TEST(each_change_is_announced);
   CPPUNIT_TEST(the_gate_closes_and_opens_with_them);
   CPPUNIT_TEST_SUITE_END();
 
@@ -29,19 +29,19 @@
     return joined;
   }
 
-  void two_zones_come_and_go_one_by_one() {
+  void zones_are_evacuated_and_reopened_independently() {
     Evacuations evacuations;
-    CPPUNIT_ASSERT(evacuations.take_listing({{kEast, at(10)}}, at(10)));
-    CPPUNIT_ASSERT(evacuations.take_listing({{kEast, at(10)}, {kWest, at(11)}}, at(11)));
+    CPPUNIT_ASSERT(evacuations.apply_listing({{kEast, at(10)}}, at(10)));
+    CPPUNIT_ASSERT(evacuations.apply_listing({{kEast, at(10)}, {kWest, at(11)}}, at(11)));
     CPPUNIT_ASSERT_EQUAL(std::string("east west "), names(evacuations));
-    CPPUNIT_ASSERT(!evacuations.take_listing({{kEast, at(10)}, {kWest, at(11)}}, at(15)));
-    CPPUNIT_ASSERT(evacuations.take_listing({{kWest, at(11)}}, at(16)));
+    CPPUNIT_ASSERT(!evacuations.apply_listing({{kEast, at(10)}, {kWest, at(11)}}, at(15)));
+    CPPUNIT_ASSERT(evacuations.apply_listing({{kWest, at(11)}}, at(16)));
     CPPUNIT_ASSERT_EQUAL(std::string("west "), names(evacuations));
-    CPPUNIT_ASSERT(evacuations.take_listing({}, at(17)));
+    CPPUNIT_ASSERT(evacuations.apply_listing({}, at(17)));
     CPPUNIT_ASSERT_EQUAL(std::string(), names(evacuations));
   }
 
-  void the_word_of_the_later_revision_holds() {
+  void the_later_revision_applies() {
     struct Case {
       std::string name;
       std::uint64_t listed_as_of;
@@ -50,10 +50,14 @@
       std::string expected;
     };
     const Case cases[] = {
-        {"heard before the store told", 10, false, {kEast, at(12), true}, "east "},
-        {"taken back since it was heard of", 10, false, {kEast, at(9), true}, ""},
-        {"the end is heard first", 10, true, {kEast, at(12), false}, ""},
-        {"an end from before it began again", 10, true, {kEast, at(9), false}, "east "},
+        {"announced before it is listed", 10, false, {kEast, at(12), true}, "east "},
+        {"reopened after the announcement", 10, false, {kEast, at(9), true}, ""},
+        {"the reopening is announced first", 10, true, {kEast, at(12), false}, ""},
+        {"a reopening from before the current evacuation",
+         10,
+         true,
+         {kEast, at(9), false},
+         "east "},
         {"the same revision", 10, true, {kEast, at(10), false}, "east "},
     };
     for (const Case& one : cases) {
@@ -62,38 +66,38 @@
         const ListedEvacuations listed =
             one.is_listed ? ListedEvacuations{{kEast, at(8)}} : ListedEvacuations();
         if (!listing_is_first) {
-          evacuations.take_notice(one.notice);
+          evacuations.apply_notice(one.notice);
         }
-        evacuations.take_listing(listed, at(one.listed_as_of));
+        evacuations.apply_listing(listed, at(one.listed_as_of));
         if (listing_is_first) {
-          evacuations.take_notice(one.notice);
+          evacuations.apply_notice(one.notice);
         }
         CPPUNIT_ASSERT_EQUAL_MESSAGE(one.name, one.expected, names(evacuations));
       }
     }
   }
 
-  void without_a_newer_word_the_last_one_known_holds() {
+  void without_newer_information_the_last_state_remains() {
     Evacuations evacuations;
-    evacuations.take_listing({{kEast, at(20)}}, at(20));
-    CPPUNIT_ASSERT(!evacuations.take_listing({}, at(19)));
-    CPPUNIT_ASSERT(!evacuations.take_notice({kEast, at(18), false}));
+    evacuations.apply_listing({{kEast, at(20)}}, at(20));
+    CPPUNIT_ASSERT(!evacuations.apply_listing({}, at(19)));
+    CPPUNIT_ASSERT(!evacuations.apply_notice({kEast, at(18), false}));
     CPPUNIT_ASSERT_EQUAL(std::string("east "), names(evacuations));
-    CPPUNIT_ASSERT(evacuations.take_notice({kWest, at(25), true}));
-    CPPUNIT_ASSERT(!evacuations.take_notice({kWest, at(24), false}));
+    CPPUNIT_ASSERT(evacuations.apply_notice({kWest, at(25), true}));
+    CPPUNIT_ASSERT(!evacuations.apply_notice({kWest, at(24), false}));
     CPPUNIT_ASSERT_EQUAL(std::string("east west "), names(evacuations));
-    CPPUNIT_ASSERT(evacuations.take_listing({}, at(30)));
+    CPPUNIT_ASSERT(evacuations.apply_listing({}, at(30)));
     CPPUNIT_ASSERT_EQUAL(std::string(), names(evacuations));
   }
 
-  void others_are_told_of_each_begin_and_end() {
+  void each_change_is_announced() {
     Evacuations evacuations;
-    evacuations.take_listing({}, at(5));
+    evacuations.apply_listing({}, at(5));
     CPPUNIT_ASSERT(evacuations.notices().empty());
-    evacuations.take_listing({{kEast, at(7)}}, at(9));
+    evacuations.apply_listing({{kEast, at(7)}}, at(9));
     CPPUNIT_ASSERT((evacuations.notices().at(kEast) == ZoneNotice{kEast, at(7), true}));
-    evacuations.take_listing({}, at(12));
-    evacuations.take_listing({}, at(14));
+    evacuations.apply_listing({}, at(12));
+    evacuations.apply_listing({}, at(14));
     CPPUNIT_ASSERT((evacuations.notices().at(kEast) == ZoneNotice{kEast, at(12), false}));
   }
 
@@ -103,12 +107,12 @@
     const core::ServiceName service("s");
     const Destination destination{id, service, kEast};
     const core::MonotonicTime now{std::chrono::seconds(1)};
-    gate.evacuations().take_listing({{kEast, at(1)}}, at(1));
+    gate.evacuations().apply_listing({{kEast, at(1)}}, at(1));
     for (const Sender sender : {Sender::kCoordinator, Sender::kFrontEnd}) {
-      CPPUNIT_ASSERT(gate.objection(destination, {sender, nullptr}, now) ==
-                     Objection::kEvacuatedZone);
+      CPPUNIT_ASSERT(gate.block_reason(destination, {sender, nullptr}, now) ==
+                     BlockReason::kEvacuatedZone);
     }
-    gate.evacuations().take_listing({}, at(2));
+    gate.evacuations().apply_listing({}, at(2));
     CPPUNIT_ASSERT(gate.may_send(destination, {}, now));
   }
 };
--- a/tests/unit/eligibility/region_binding_test.cpp
+++ b/tests/unit/eligibility/region_binding_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Regions that bind a request, and what the gate says of replicas elsewhere.
+/// Region bindings of requests, and the gate's decision on replicas in other regions.
 #include "eligibility/region_binding.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,7 +11,7 @@
 class RegionBindingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RegionBindingTest);
   CPPUNIT_TEST(route_and_tenant_both_bind);
-  CPPUNIT_TEST(the_gate_objects_to_replicas_elsewhere);
+  CPPUNIT_TEST(the_gate_rejects_replicas_in_other_regions);
   CPPUNIT_TEST_SUITE_END();
 
   inline static const core::RegionName kWest{"west"};
@@ -41,7 +41,7 @@
     }
   }
 
-  void the_gate_objects_to_replicas_elsewhere() {
+  void the_gate_rejects_replicas_in_other_regions() {
     const core::ReplicaId id("a");
     const core::ServiceName service("models");
     const SendGate gate({{core::ZoneName("w1"), kWest}, {core::ZoneName("e1"), kEast}});
@@ -51,20 +51,20 @@
       std::string name;
       std::string zone;
       const RegionBinding* binding;
-      std::optional<Objection> expected;
+      std::optional<BlockReason> expected;
     };
     const Case cases[] = {
         {"in the region", "w1", &west, std::nullopt},
-        {"in another", "e1", &west, Objection::kOutsideRegions},
-        {"in a zone that the settings do not name", "x1", &west, Objection::kOutsideRegions},
+        {"in another", "e1", &west, BlockReason::kOutsideRegions},
+        {"in a zone that the settings do not name", "x1", &west, BlockReason::kOutsideRegions},
         {"nothing binds", "e1", &free, std::nullopt},
         {"no binding", "x1", nullptr, std::nullopt},
     };
     for (const Case& one : cases) {
       const core::ZoneName zone(one.zone);
-      const auto objection =
-          gate.objection({id, service, zone}, {Sender::kFrontEnd, one.binding}, {});
-      CPPUNIT_ASSERT_MESSAGE(one.name, objection == one.expected);
+      const auto block_reason =
+          gate.block_reason({id, service, zone}, {Sender::kFrontEnd, one.binding}, {});
+      CPPUNIT_ASSERT_MESSAGE(one.name, block_reason == one.expected);
     }
   }
 };
--- a/tests/unit/ingress/cold_census_test.cpp
+++ b/tests/unit/ingress/cold_replica_monitor_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which replicas count as cold, for the metrics, and which services take clients' requests.
-#include "ingress/cold_census.hpp"
+/// Which replicas the metrics count as cold, and which services accept clients' requests.
+#include "ingress/cold_replica_monitor.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -10,8 +10,8 @@
 
 using std::chrono::seconds;
 
-class ColdCensusTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ColdCensusTest);
+class ColdReplicaMonitorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ColdReplicaMonitorTest);
   CPPUNIT_TEST(replicas_are_counted_while_they_are_cold);
   CPPUNIT_TEST(services_of_jobs_alone_are_the_coordinators);
   CPPUNIT_TEST_SUITE_END();
@@ -42,21 +42,22 @@
 
   void replicas_are_counted_while_they_are_cold() {
     core::Metrics metrics;
-    ColdCensus census(metrics);
+    ColdReplicaMonitor monitor(metrics);
     ReplicaDirectory directory;
     directory.apply(
         {{record("a", "x", kNow + seconds(2)), record("b", "y", {}), record("c", "y", {})}, {}});
-    census.look(directory, kNow);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, census.cold());
+    monitor.update(directory, kNow);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, monitor.cold());
     for (const char* replica : {"b", "c"}) {
-      directory.gate().cold_pace().presume_cold(core::ReplicaId(replica), kNow + seconds(5));
+      directory.gate().cold_rate_limiter().presume_cold(core::ReplicaId(replica),
+                                                        kNow + seconds(5));
     }
-    census.look(directory, kNow);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, census.cold());
+    monitor.update(directory, kNow);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, monitor.cold());
     CPPUNIT_ASSERT_EQUAL(3.0, metrics.gauge("stoneport_cold_replicas", "").Value());
-    census.look(directory, kNow + seconds(3));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, census.cold());
-    census.look(directory, kNow + seconds(6));
+    monitor.update(directory, kNow + seconds(3));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, monitor.cold());
+    monitor.update(directory, kNow + seconds(6));
     CPPUNIT_ASSERT_EQUAL(0.0, metrics.gauge("stoneport_cold_replicas", "").Value());
   }
 
@@ -80,6 +81,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ColdCensusTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ColdReplicaMonitorTest);
 
 }  // namespace stoneport::ingress
--- a/tests/unit/ingress/crash_guard_test.cpp
+++ b/tests/unit/ingress/crash_guard_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// On which terms a request under which replicas ended goes to replicas: never to the last
-/// healthy one, one run at a time, then beside no other; and which ends count.
+/// Where requests suspected of crashing replicas may run: never on the last healthy replica, one
+/// run at a time, then only without other requests; and which crashes count.
 #include "ingress/crash_guard.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -17,18 +17,18 @@
 
 class CrashGuardTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CrashGuardTest);
-  CPPUNIT_TEST(only_an_unannounced_end_counts);
-  CPPUNIT_TEST(a_listener_that_closes_a_moment_later_is_seen);
-  CPPUNIT_TEST(the_last_healthy_replica_is_spared);
-  CPPUNIT_TEST(a_service_of_one_replica_is_used_after_a_while);
-  CPPUNIT_TEST(a_suspect_runs_once_at_a_time);
-  CPPUNIT_TEST(suspects_of_one_end_go_to_replicas_apart);
-  CPPUNIT_TEST(one_that_starts_elsewhere_at_the_same_moment_goes_first);
-  CPPUNIT_TEST(what_was_served_before_goes_on_after_one_end);
-  CPPUNIT_TEST(after_two_ends_it_runs_alone);
-  CPPUNIT_TEST(two_processes_do_not_keep_replicas_of_one_service);
-  CPPUNIT_TEST(an_ended_replica_is_known_by_hearsay);
-  CPPUNIT_TEST(an_operator_lets_one_go);
+  CPPUNIT_TEST(only_an_unannounced_crash_counts);
+  CPPUNIT_TEST(a_crash_is_detected_when_the_listener_closes_late);
+  CPPUNIT_TEST(the_last_healthy_replica_gets_no_suspects);
+  CPPUNIT_TEST(a_sole_replica_is_used_after_a_delay);
+  CPPUNIT_TEST(a_suspect_has_one_run_at_a_time);
+  CPPUNIT_TEST(suspects_of_one_crash_run_on_different_replicas);
+  CPPUNIT_TEST(a_remote_reservation_with_a_smaller_name_takes_precedence);
+  CPPUNIT_TEST(a_previously_served_request_is_free_after_one_crash);
+  CPPUNIT_TEST(after_two_crashes_it_runs_alone);
+  CPPUNIT_TEST(two_processes_do_not_reserve_replicas_of_one_service);
+  CPPUNIT_TEST(a_crash_reported_by_another_process_counts);
+  CPPUNIT_TEST(an_operator_releases_a_suspect);
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
@@ -51,18 +51,18 @@
     ReplicaPointer replica(const std::string& id) const {
       return directory.find(core::ReplicaId(id));
     }
-    /// \p id ends while it runs \p content. \return whether that was found out at once.
+    /// Makes \p id crash while it runs \p content. \return whether that was detected immediately.
     bool end(const core::RequestFingerprint& content, const std::string& id) {
       client.replicas[id].ended = true;
       return settle(content, id);
     }
     bool settle(const core::RequestFingerprint& content, const std::string& id) {
-      return support::run_task(context, guard.settle_broken(content, "request", replica(id)));
+      return support::run_task(context, guard.resolve_broken_call(content, "request", replica(id)));
     }
     Admission admit(const core::RequestFingerprint& content) {
       return guard.admit(content, route, directory.of_service(service));
     }
-    /// Asks until a replica that is kept for \p content has settled, or there is none.
+    /// Asks until the reservation for \p content is usable or there is none.
     Admission admit_settled(const core::RequestFingerprint& content) {
       admit(content);
       time.advance(milliseconds(15));
@@ -70,8 +70,8 @@
       time.advance(milliseconds(5));
       return admit(content);
     }
-    quarantine::Terms terms(const core::RequestFingerprint& content) const {
-      return guard.suspects().terms_of(content);
+    quarantine::RunRestriction terms(const core::RequestFingerprint& content) const {
+      return guard.suspects().restriction_of(content);
     }
 
     boost::asio::io_context context;
@@ -87,7 +87,7 @@
   const core::RequestFingerprint culprit_{"culprit"};
   const core::RequestFingerprint other_{"other"};
 
-  void only_an_unannounced_end_counts() {
+  void only_an_unannounced_crash_counts() {
     World world(4);
     CPPUNIT_ASSERT(!world.settle(culprit_, "r0"));  // it still listens: the connection was reset
     world.replica("r1")->record.draining = true;
@@ -100,14 +100,14 @@
     CPPUNIT_ASSERT(world.guard.is_suspect(culprit_));
   }
 
-  void a_listener_that_closes_a_moment_later_is_seen() {
+  void a_crash_is_detected_when_the_listener_closes_late() {
     World world(3);
     CPPUNIT_ASSERT(!world.settle(culprit_, "r0"));
     world.client.replicas["r0"].ended = true;
     world.context.restart();
     world.context.run_for(milliseconds(100));
     CPPUNIT_ASSERT(world.guard.is_suspect(culprit_));
-    // One that has answered meanwhile lives.
+    // A replica that has answered since is alive.
     CPPUNIT_ASSERT(!world.settle(other_, "r1"));
     world.time.advance(milliseconds(1));
     world.replica("r1")->last_answer = world.time.now();
@@ -117,7 +117,7 @@
     CPPUNIT_ASSERT(!world.guard.is_suspect(other_));
   }
 
-  void the_last_healthy_replica_is_spared() {
+  void the_last_healthy_replica_gets_no_suspects() {
     struct Case {
       std::string name;
       std::function<void(World&)> makes_r2_the_last;
@@ -144,7 +144,7 @@
     }
   }
 
-  void a_service_of_one_replica_is_used_after_a_while() {
+  void a_sole_replica_is_used_after_a_delay() {
     World world(1);
     world.end(culprit_, "r0");
     world.add("r0 again");
@@ -153,7 +153,7 @@
     CPPUNIT_ASSERT(world.admit_settled(culprit_).kind == AdmissionKind::kRun);
   }
 
-  void a_suspect_runs_once_at_a_time() {
+  void a_suspect_has_one_run_at_a_time() {
     World world(4);
     world.end(culprit_, "r0");
     const Admission admission = world.admit_settled(culprit_);
@@ -166,17 +166,17 @@
     CPPUNIT_ASSERT(world.admit_settled(culprit_).kind == AdmissionKind::kRun);
     const core::NodeId elsewhere("node-c");
     const SuspectRun remote{culprit_, core::ReplicaId("r1"), false};
-    world.guard.hear_run(elsewhere, remote, false);
+    world.guard.apply_remote_run(elsewhere, remote, false);
     CPPUNIT_ASSERT(world.admit_settled(culprit_).kind == AdmissionKind::kWait);
-    world.guard.hear_run(elsewhere, remote, true);
+    world.guard.apply_remote_run(elsewhere, remote, true);
     CPPUNIT_ASSERT(world.admit_settled(culprit_).kind == AdmissionKind::kRun);
-    // A process that died is not waited for.
-    world.guard.hear_run(elsewhere, remote, false);
+    // Reservations of a dead process expire.
+    world.guard.apply_remote_run(elsewhere, remote, false);
     world.time.advance(milliseconds(601));
     CPPUNIT_ASSERT(world.admit_settled(culprit_).kind == AdmissionKind::kRun);
   }
 
-  void suspects_of_one_end_go_to_replicas_apart() {
+  void suspects_of_one_crash_run_on_different_replicas() {
     World world(4);
     const core::RequestFingerprint third("third");
     for (const core::RequestFingerprint& content : {culprit_, other_, third}) {
@@ -195,38 +195,40 @@
     CPPUNIT_ASSERT(world.admit_settled(fourth).kind == AdmissionKind::kWait);
     runs.clear();
     CPPUNIT_ASSERT(world.admit_settled(fourth).kind == AdmissionKind::kRun);
-    // Texts, which take seconds, do not keep apart.
+    // Texts, which take seconds, do not run apart.
     CPPUNIT_ASSERT(world.guard
                        .admit(culprit_, world.route, world.directory.of_service(world.service),
-                              Spread::kTogether)
+                              SuspectSeparation::kTogether)
                        .kind == AdmissionKind::kRun);
   }
 
-  void one_that_starts_elsewhere_at_the_same_moment_goes_first() {
+  void a_remote_reservation_with_a_smaller_name_takes_precedence() {
     World world(3);
     world.end(culprit_, "r0");
     world.admit(culprit_);
-    const std::vector<SuspectRun> kept = world.guard.own_runs();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, kept.size());
+    const std::vector<SuspectRun> reservations = world.guard.own_runs();
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, reservations.size());
     const core::NodeId elsewhere("node-c");
-    // A later name gives way itself, an earlier one goes first.
-    world.guard.hear_run(elsewhere, {core::RequestFingerprint("z"), kept[0].replica, false}, false);
+    // A holder with a larger name yields, one with a smaller name takes precedence.
+    world.guard.apply_remote_run(
+        elsewhere, {core::RequestFingerprint("z"), reservations[0].replica, false}, false);
     world.time.advance(milliseconds(15));
-    CPPUNIT_ASSERT(world.admit(culprit_).kind ==
-                   AdmissionKind::kWait);  // not looked at often enough
+    CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);  // not checked often enough
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kRun);
-    world.guard.hear_run(elsewhere, {core::RequestFingerprint("a"), kept[0].replica, false}, false);
+    world.guard.apply_remote_run(
+        elsewhere, {core::RequestFingerprint("a"), reservations[0].replica, false}, false);
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);
     const Admission admission = world.admit_settled(culprit_);
     CPPUNIT_ASSERT(admission.kind == AdmissionKind::kRun);
-    CPPUNIT_ASSERT(admission.allowed.front()->record.id != kept[0].replica);
-    // One that runs already goes first, whatever its name.
+    CPPUNIT_ASSERT(admission.allowed.front()->record.id != reservations[0].replica);
+    // A suspect that runs already takes precedence regardless of its name.
     const core::ReplicaId next = admission.allowed.front()->record.id;
-    world.guard.hear_run(elsewhere, {core::RequestFingerprint("z"), next, false, true}, false);
+    world.guard.apply_remote_run(elsewhere, {core::RequestFingerprint("z"), next, false, true},
+                                 false);
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);
   }
 
-  void what_was_served_before_goes_on_after_one_end() {
+  void a_previously_served_request_is_free_after_one_crash() {
     World world(2);
     world.guard.note_served(culprit_);
     world.end(culprit_, "r0");
@@ -235,7 +237,7 @@
     CPPUNIT_ASSERT(world.admit(other_).kind == AdmissionKind::kWait);
   }
 
-  void after_two_ends_it_runs_alone() {
+  void after_two_crashes_it_runs_alone() {
     World world(5);
     world.end(culprit_, "r0");
     world.end(culprit_, "r1");
@@ -244,13 +246,14 @@
     }
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);
     const auto reserved = [&](const std::string& id) {
-      return world.directory.gate().objection(world.replica(id)->destination(), {},
-                                              world.time.now()) ==
-             eligibility::Objection::kReserved;
+      return world.directory.gate().block_reason(world.replica(id)->destination(), {},
+                                                 world.time.now()) ==
+             eligibility::BlockReason::kReserved;
     };
     CPPUNIT_ASSERT(reserved("r2") && !reserved("r3") && !reserved("r4"));
     world.time.advance(milliseconds(120));
-    CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);  // others still run there
+    // other requests still run there
+    CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);
     world.replica("r2")->in_flight = 0;
     const Admission admission = world.admit(culprit_);
@@ -265,31 +268,31 @@
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kHeld);
   }
 
-  void two_processes_do_not_keep_replicas_of_one_service() {
+  void two_processes_do_not_reserve_replicas_of_one_service() {
     World world(5);
     world.end(culprit_, "r0");
     world.end(culprit_, "r1");
     world.admit(culprit_);
     world.time.advance(milliseconds(120));
     const SuspectRun remote{core::RequestFingerprint("a"), core::ReplicaId("r4"), true};
-    world.guard.hear_run(core::NodeId("node-c"), remote, false);
-    // "a" goes before "culprit": the own reservation is given up, and none is made meanwhile.
+    world.guard.apply_remote_run(core::NodeId("node-c"), remote, false);
+    // "a" precedes "culprit": this process drops its reservation and makes no other.
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);
     CPPUNIT_ASSERT(world.guard.own_runs().empty());
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);
     CPPUNIT_ASSERT(world.guard.own_runs().empty());
-    world.guard.hear_run(core::NodeId("node-c"), remote, true);
+    world.guard.apply_remote_run(core::NodeId("node-c"), remote, true);
     world.admit(culprit_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.guard.own_runs().size());
   }
 
-  void an_ended_replica_is_known_by_hearsay() {
+  void a_crash_reported_by_another_process_counts() {
     World world(3);
-    quarantine::Suspect heard;
-    heard.content = culprit_;
-    heard.ended = {core::ReplicaId("r0"), core::ReplicaId("r1")};
-    heard.forget_at = world.time.now() + seconds(60);
-    world.guard.hear(heard);
+    quarantine::Suspect remote_suspect;
+    remote_suspect.content = culprit_;
+    remote_suspect.ended = {core::ReplicaId("r0"), core::ReplicaId("r1")};
+    remote_suspect.forget_at = world.time.now() + seconds(60);
+    world.guard.apply_remote_suspect(remote_suspect);
     CPPUNIT_ASSERT(world.replica("r0")->has_ended());
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kWait);
     world.time.advance(milliseconds(1));
@@ -297,14 +300,14 @@
     CPPUNIT_ASSERT(!world.replica("r0")->has_ended());
   }
 
-  void an_operator_lets_one_go() {
+  void an_operator_releases_a_suspect() {
     World world(5);
     for (const char* id : {"r0", "r1", "r2"}) {
       world.end(culprit_, id);
     }
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kHeld);
-    CPPUNIT_ASSERT(world.guard.let_go(culprit_));
-    CPPUNIT_ASSERT(!world.guard.let_go(culprit_));
+    CPPUNIT_ASSERT(world.guard.release_suspect(culprit_));
+    CPPUNIT_ASSERT(!world.guard.release_suspect(culprit_));
     CPPUNIT_ASSERT(world.admit(culprit_).kind == AdmissionKind::kFree);
   }
 };
--- a/tests/unit/ingress/evacuated_services_test.cpp
+++ b/tests/unit/ingress/evacuated_services_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Requests of services whose replicas lie in evacuated zones: sent elsewhere while there is an
-/// elsewhere, refused at once when there is none, with an honest time to come back.
+/// Requests to services with replicas in evacuated zones: sent to other zones if possible,
+/// otherwise refused immediately with an accurate Retry-After.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/io_context.hpp>
@@ -16,7 +16,7 @@
 class EvacuatedServicesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EvacuatedServicesTest);
   CPPUNIT_TEST(requests_go_to_the_other_zone);
-  CPPUNIT_TEST(with_no_other_zone_they_are_refused_at_once);
+  CPPUNIT_TEST(without_another_zone_they_are_refused_immediately);
   CPPUNIT_TEST(a_retry_never_goes_back_into_the_zone);
   CPPUNIT_TEST_SUITE_END();
 
@@ -29,7 +29,7 @@
       route.kind = RouteKind::kRepeatable;
       route.timeout = std::chrono::seconds(3);
       route.target_latency = milliseconds(100);
-      route.most_attempts = 4;
+      route.max_attempts = 4;
       route.targets = {{core::ServiceName("desk"), 1}};
       table = std::make_shared<RouteTable>(1, std::vector<Route>{route}, ClientLimits());
     }
@@ -48,7 +48,7 @@
     void evacuate(const std::string& zone) {
       eligibility::ListedEvacuations listed;
       listed[core::ZoneName(zone)] = core::Revision(++revision);
-      directory.gate().evacuations().take_listing(std::move(listed), core::Revision(revision));
+      directory.gate().evacuations().apply_listing(std::move(listed), core::Revision(revision));
     }
     ForwardResult call() {
       ForwardedRequest request;
@@ -83,7 +83,7 @@
     }
   }
 
-  void with_no_other_zone_they_are_refused_at_once() {
+  void without_another_zone_they_are_refused_immediately() {
     struct Case {
       std::string name;
       bool others_boot;
@@ -92,7 +92,7 @@
     };
     const Case cases[] = {
         {"nowhere else", false, milliseconds(300), milliseconds(400)},
-        {"others are about to take work", true, milliseconds(1), milliseconds(300)},
+        {"other replicas are about to accept work", true, milliseconds(1), milliseconds(300)},
     };
     for (const Case& one : cases) {
       World world;
--- a/tests/unit/ingress/forwarder_admission_test.cpp
+++ b/tests/unit/ingress/forwarder_admission_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Clients' requests while replicas refuse for load: how often they are sent, and what is told.
+/// Clients' requests while replicas refuse for load: the number of sends and the resulting answers.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/io_context.hpp>
@@ -19,16 +19,16 @@
 
 class ForwarderAdmissionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForwarderAdmissionTest);
-  CPPUNIT_TEST(where_nobody_was_refused_a_request_goes_on_to_further_replicas);
-  CPPUNIT_TEST(after_a_refusal_one_more_replica_is_asked);
-  CPPUNIT_TEST(one_full_replica_beside_others_costs_nobody_the_answer);
-  CPPUNIT_TEST(a_replica_that_refused_is_left_out_for_a_while);
+  CPPUNIT_TEST(without_prior_refusals_further_replicas_are_tried);
+  CPPUNIT_TEST(after_a_refusal_one_more_replica_is_tried);
+  CPPUNIT_TEST(one_full_replica_fails_no_request);
+  CPPUNIT_TEST(a_replica_that_refused_is_skipped_temporarily);
   CPPUNIT_TEST(under_overload_requests_are_refused_before_they_are_sent);
-  CPPUNIT_TEST(what_may_not_repeat_is_refused_only_when_nothing_ran);
-  CPPUNIT_TEST(what_may_have_run_is_never_called_refused);
-  CPPUNIT_TEST(replicas_that_are_gone_are_no_overload);
+  CPPUNIT_TEST(a_non_repeatable_request_is_refused_only_if_it_has_not_run);
+  CPPUNIT_TEST(a_request_that_may_have_run_is_not_reported_as_refused);
+  CPPUNIT_TEST(removed_replicas_do_not_count_as_overload);
   CPPUNIT_TEST(rating_calls_are_neither_refused_nor_counted);
-  CPPUNIT_TEST(switched_off_requests_go_on_to_further_replicas);
+  CPPUNIT_TEST(without_admission_control_further_replicas_are_tried);
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
@@ -41,7 +41,7 @@
       route.kind = kind;
       route.timeout = seconds(2);
       route.target_latency = milliseconds(300);
-      route.most_attempts = 2;
+      route.max_attempts = 2;
       route.targets = {{core::ServiceName("desk"), 1}};
       table = std::make_shared<RouteTable>(1, std::vector<Route>{route}, ClientLimits());
       for (const char* id : {"a", "b", "c"}) {
@@ -112,7 +112,7 @@
     return std::strtod(std::string(*text).c_str(), nullptr);
   }
 
-  void where_nobody_was_refused_a_request_goes_on_to_further_replicas() {
+  void without_prior_refusals_further_replicas_are_tried() {
     World world;
     for (auto& [id, replica] : world.replicas.replicas) {
       replica.refuse = 1;
@@ -121,10 +121,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, world.replicas.calls.size());
   }
 
-  void after_a_refusal_one_more_replica_is_asked() {
+  void after_a_refusal_one_more_replica_is_tried() {
     World world;
     world.refuse_all();
-    world.serve();  // the first that is refused goes on as where there is no load
+    world.serve();  // the first refused request continues as if there were no overload
     world.replicas.calls.clear();
     const double before = world.metrics.counter("stoneport_refused_sends_total", "").Value();
     const core::MonotonicTime began = world.time.now();
@@ -139,7 +139,7 @@
                          world.metrics.counter("stoneport_refused_sends_total", "").Value());
   }
 
-  void one_full_replica_beside_others_costs_nobody_the_answer() {
+  void one_full_replica_fails_no_request() {
     World world;
     world.replicas.replicas["b"].refuse = 1000000;
     for (int request = 0; request < 200; ++request) {
@@ -148,7 +148,7 @@
     CPPUNIT_ASSERT(world.replicas.calls.size() <= 220);
   }
 
-  void a_replica_that_refused_is_left_out_for_a_while() {
+  void a_replica_that_refused_is_skipped_temporarily() {
     World world;
     world.replicas.replicas["b"].refuse = 1;
     while (world.replicas.calls.empty() || world.replicas.replicas["b"].refuse > 0) {
@@ -163,7 +163,7 @@
     for (const std::string& replica : world.replicas.calls) {
       CPPUNIT_ASSERT(replica != "b");
     }
-    while (world.replicas.calls.back() != "b") {  // and then it gets work again
+    while (world.replicas.calls.back() != "b") {  // afterwards the replica gets work again
       CPPUNIT_ASSERT_EQUAL(200u, world.serve().status);
     }
   }
@@ -187,7 +187,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{100 - unsent}, counts.admitted);
   }
 
-  void what_may_not_repeat_is_refused_only_when_nothing_ran() {
+  void a_non_repeatable_request_is_refused_only_if_it_has_not_run() {
     World world(RouteKind::kOnce);
     world.refuse_all();
     world.serve();
@@ -199,8 +199,8 @@
     CPPUNIT_ASSERT_EQUAL(0, world.ran());
   }
 
-  /// The first send is lost, and whether it ran is not known; the replicas left are full.
-  void what_may_have_run_is_never_called_refused() {
+  /// The first send is lost, and it is unknown whether it ran; the remaining replicas are full.
+  void a_request_that_may_have_run_is_not_reported_as_refused() {
     for (const RouteKind kind : {RouteKind::kOnce, RouteKind::kRepeatable}) {
       World world(kind);
       for (auto& [id, replica] : world.replicas.replicas) {
@@ -219,7 +219,7 @@
     }
   }
 
-  void replicas_that_are_gone_are_no_overload() {
+  void removed_replicas_do_not_count_as_overload() {
     World world;
     world.replicas.replicas["a"].gone = true;
     world.replicas.replicas["b"].gone = true;
@@ -249,7 +249,7 @@
     CPPUNIT_ASSERT_EQUAL(before.admitted, after.admitted);
   }
 
-  void switched_off_requests_go_on_to_further_replicas() {
+  void without_admission_control_further_replicas_are_tried() {
     World world(RouteKind::kRepeatable, false);
     world.refuse_all();
     CPPUNIT_ASSERT_EQUAL(503u, world.serve().status);
--- a/tests/unit/ingress/forwarder_cold_test.cpp
+++ b/tests/unit/ingress/forwarder_cold_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Clients' requests while replicas are cold: where they go, how they wait, what is learnt.
+/// Clients' requests while replicas are cold: where they are sent, how long they wait, and which
+/// latencies are recorded.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -20,16 +21,16 @@
 class ForwarderColdTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForwarderColdTest);
   CPPUNIT_TEST(a_process_that_is_not_chosen_uses_warm_replicas);
-  CPPUNIT_TEST(with_only_cold_replicas_left_a_request_is_refused_soon_as_not_run);
-  CPPUNIT_TEST(a_chosen_process_sends_there_one_by_one);
-  CPPUNIT_TEST(rating_calls_are_the_coordinators);
-  CPPUNIT_TEST(how_long_a_cold_replica_took_is_not_kept);
+  CPPUNIT_TEST(with_only_cold_replicas_a_request_is_refused_early_as_not_run);
+  CPPUNIT_TEST(a_chosen_process_spaces_its_requests);
+  CPPUNIT_TEST(rating_calls_count_as_the_coordinators);
+  CPPUNIT_TEST(latency_of_a_cold_replica_is_not_recorded);
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
     World() {
       add("cold", time.now() + seconds(60));
-      eligibility::ColdPace& pace = directory.gate().cold_pace();
+      eligibility::ColdRateLimiter& pace = directory.gate().cold_rate_limiter();
       pace.replace_limits({{core::ServiceName("desk"), {seconds(3), 9.5, true}}});
       pace.replace_bound({1.5, 5});
       Route route;
@@ -39,7 +40,7 @@
       route.kind = RouteKind::kRepeatable;
       route.timeout = seconds(2);
       route.target_latency = milliseconds(300);
-      route.most_attempts = 2;
+      route.max_attempts = 2;
       route.targets = {{core::ServiceName("desk"), 1}};
       table = std::make_shared<RouteTable>(1, std::vector<Route>{route}, ClientLimits());
     }
@@ -53,9 +54,10 @@
       replicas.replicas[id] = {};
       directory.update(records);
     }
-    /// This process alone is known, and has been for a while.
+    /// Makes this process the only known member, for longer than the settling time.
     void choose_self() {
-      directory.gate().cold_pace().replace_members("self", {"self"}, time.now() - seconds(10));
+      directory.gate().cold_rate_limiter().replace_members("self", {"self"},
+                                                           time.now() - seconds(10));
     }
     ForwardedRequest request() {
       ForwardedRequest made;
@@ -101,7 +103,7 @@
     }
   }
 
-  void with_only_cold_replicas_left_a_request_is_refused_soon_as_not_run() {
+  void with_only_cold_replicas_a_request_is_refused_early_as_not_run() {
     World world;
     const core::MonotonicTime began = world.time.now();
     const http::ResponseHead head = world.serve();
@@ -109,14 +111,14 @@
     CPPUNIT_ASSERT_EQUAL(503u, head.status);
     CPPUNIT_ASSERT(head.headers.find("Retry-After").has_value());
     CPPUNIT_ASSERT(world.replicas.calls.empty());
-    // A quarter of its target latency, after which a late refusal costs.
+    // A quarter of its target latency; a later refusal reduces the credit.
     CPPUNIT_ASSERT(held >= milliseconds(60) && held < milliseconds(300));
     const double counted =
         world.metrics.counter("stoneport_forward_held_for_cold_total", "").Value();
     CPPUNIT_ASSERT_EQUAL(1.0, counted);
   }
 
-  void a_chosen_process_sends_there_one_by_one() {
+  void a_chosen_process_spaces_its_requests() {
     World world;
     world.choose_self();
     CPPUNIT_ASSERT_EQUAL(200u, world.serve().status);
@@ -124,15 +126,15 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.replicas.calls.size());
   }
 
-  void rating_calls_are_the_coordinators() {
+  void rating_calls_count_as_the_coordinators() {
     World world;
-    // No front end may send there, the coordinator may.
+    // Front ends must not send there, but the coordinator may.
     const auto answer = support::run_task(world.context, world.forwarder.call(world.request()));
     CPPUNIT_ASSERT(answer.has_value());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.replicas.calls.size());
   }
 
-  void how_long_a_cold_replica_took_is_not_kept() {
+  void latency_of_a_cold_replica_is_not_recorded() {
     World world;
     world.choose_self();
     CPPUNIT_ASSERT_EQUAL(200u, world.serve().status);
--- a/tests/unit/ingress/forwarder_load_test.cpp
+++ b/tests/unit/ingress/forwarder_load_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the forwarder tells the ledger of load: how each request ended and, of those refused, why.
-/// Over replicas in memory.
+/// Load statistics of the forwarder: the outcome of each request and the reason of each refusal.
+/// Uses in-memory replicas.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -21,7 +21,7 @@
   CPPUNIT_TEST(a_retry_is_one_request_and_two_sends);
   CPPUNIT_TEST(a_request_that_may_have_run_is_failed_and_not_refused);
   CPPUNIT_TEST(a_request_without_a_replica_waits);
-  CPPUNIT_TEST(a_request_that_runs_when_the_process_ends_is_left_alone);
+  CPPUNIT_TEST(a_request_may_outlive_the_forwarder);
   CPPUNIT_TEST_SUITE_END();
 
   inline static const core::ServiceName kDesk{"desk"};
@@ -34,7 +34,7 @@
       route.kind = kind;
       route.timeout = std::chrono::seconds(3);
       route.target_latency = milliseconds(100);
-      route.most_attempts = 2;
+      route.max_attempts = 2;
       route.targets = {{kDesk, 1}};
       table = std::make_shared<RouteTable>(1, std::vector<Route>{route}, ClientLimits());
     }
@@ -59,9 +59,9 @@
     ForwardResult call(core::Duration limit = milliseconds(200)) {
       return support::run_task(context, forwarder.call(request(limit)));
     }
-    LoadEntry seen() const { return forwarder.ledger().services(time.now()).at(kDesk); }
+    LoadEntry seen() const { return forwarder.load_statistics().services(time.now()).at(kDesk); }
 
-    support::FakeReplicaClient replicas;  // calls that end with the loop are counted in it
+    support::FakeReplicaClient replicas;  // calls that finish with the event loop are counted in it
     boost::asio::io_context context;
     ReplicaDirectory directory;
     std::shared_ptr<const RouteTable> table;
@@ -87,7 +87,7 @@
         {RefusalReason::kEvacuated,
          [](World& world) {
            world.add("a", "east");
-           world.directory.gate().evacuations().take_listing(
+           world.directory.gate().evacuations().apply_listing(
                {{core::ZoneName("east"), core::Revision(1)}}, core::Revision(1));
            return world.call();
          }},
@@ -124,7 +124,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, counts.answered);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, counts.sends);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, counts.sends_refused);
-    const LoadLedger::Tenants tenants = world.forwarder.ledger().tenants(world.time.now());
+    const LoadStatistics::Tenants tenants =
+        world.forwarder.load_statistics().tenants(world.time.now());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, tenants.at(kAnn).total.sends);
   }
 
@@ -152,8 +153,8 @@
     CPPUNIT_ASSERT(world.seen().total.longest_wait >= milliseconds(100));
   }
 
-  /// The event loop, and with it the request, goes away after the forwarder.
-  void a_request_that_runs_when_the_process_ends_is_left_alone() {
+  /// The event loop, and with it the request, is destroyed after the forwarder.
+  void a_request_may_outlive_the_forwarder() {
     World world;
     world.add("a", "east");
     world.replicas.replicas["a"].silent = true;
--- a/tests/unit/ingress/forwarder_regions_test.cpp
+++ b/tests/unit/ingress/forwarder_regions_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Requests that are bound to regions: which replicas get them, and how soon they are refused
-/// when none may. Over replicas in memory.
+/// Requests bound to regions: which replicas they are sent to, and how soon they are refused if
+/// there is none. Uses in-memory replicas.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/io_context.hpp>
@@ -16,7 +16,7 @@
 class ForwarderRegionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForwarderRegionsTest);
   CPPUNIT_TEST(a_bound_request_goes_to_its_regions_only);
-  CPPUNIT_TEST(a_request_without_a_replica_in_its_regions_is_refused_at_once);
+  CPPUNIT_TEST(a_request_without_a_replica_in_its_regions_is_refused_immediately);
   CPPUNIT_TEST(requests_to_other_regions_are_counted);
   CPPUNIT_TEST_SUITE_END();
 
@@ -29,7 +29,7 @@
       route.kind = RouteKind::kRepeatable;
       route.timeout = std::chrono::seconds(2);
       route.target_latency = milliseconds(100);
-      route.most_attempts = 4;
+      route.max_attempts = 4;
       route.targets = {{core::ServiceName("desk"), 1}};
       add("e0", "e1");
     }
@@ -66,7 +66,7 @@
     Forwarder forwarder{directory, replicas, settings(), 1, time, metrics};
   };
 
-  /// The only replica in the region fails all calls: retries must not go elsewhere.
+  /// The only replica in the region fails all calls; retries must not leave the region.
   void a_bound_request_goes_to_its_regions_only() {
     World world;
     world.add("w0", "w1");
@@ -77,11 +77,11 @@
     CPPUNIT_ASSERT_EQUAL(96, world.replicas.replicas["w0"].fail);
   }
 
-  void a_request_without_a_replica_in_its_regions_is_refused_at_once() {
+  void a_request_without_a_replica_in_its_regions_is_refused_immediately() {
     World world;
     const core::MonotonicTime began = world.time.now();
     const ForwardResult result = world.call({{kWest}, {}});
-    CPPUNIT_ASSERT(world.time.now() - began < milliseconds(500));  // it may be held for 2 s
+    CPPUNIT_ASSERT(world.time.now() - began < milliseconds(500));  // it could be held for 2 s
     CPPUNIT_ASSERT(!result && !result.error().may_have_run);
     CPPUNIT_ASSERT_EQUAL(503u, failure_response(result.error()).head.status);
     const ForwardResult none = world.call({{kWest}, {kEast}});
--- a/tests/unit/ingress/forwarder_second_call_test.cpp
+++ b/tests/unit/ingress/forwarder_second_call_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Second calls of clients' requests: under silent, slow, failing and full replicas, within the
-/// attempts of the route and its budget, counted once. Over replicas in memory.
+/// Second calls of clients' requests with silent, slow, failing and full replicas: they stay within
+/// the route's attempts and the budget, and the request is counted once. Uses in-memory replicas.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -20,8 +20,8 @@
 
 namespace {
 
-/// Tells of each call before it goes on.
-class WatchedClient : public support::FakeReplicaClient {
+/// Invokes a callback for each call before the call continues.
+class ObservedClient : public support::FakeReplicaClient {
  public:
   boost::asio::awaitable<ports::CallResult<ports::ReplicaAnswer>> call(
       ports::ReplicaTarget target, ports::ReplicaCall call) override {
@@ -43,8 +43,8 @@
   }
 
   std::function<void(std::size_t number)> on_call;  ///< numbered from one
-  std::string broken_by = {};              ///< this replica runs calls and breaks their connections
-  core::Duration look_time{};              ///< until it is found out whether a replica has ended
+  std::string broken_by = {};  ///< id of a replica that runs calls and breaks their connections
+  core::Duration look_time{};  ///< duration of the check whether a replica has crashed
   std::vector<core::Duration> times_left;  ///< by call
 };
 
@@ -76,20 +76,20 @@
   CPPUNIT_TEST(a_replica_that_is_overtaken_twice_is_suspect);
   CPPUNIT_TEST(the_first_answer_counts_and_the_other_call_is_cut);
   CPPUNIT_TEST(a_slow_replica_that_works_is_not_suspect);
-  CPPUNIT_TEST(two_silent_replicas_are_passed_by_a_third_call);
-  CPPUNIT_TEST(the_attempts_of_the_route_are_kept);
-  CPPUNIT_TEST(what_may_not_repeat_is_sent_once);
+  CPPUNIT_TEST(a_third_call_bypasses_two_silent_replicas);
+  CPPUNIT_TEST(the_attempt_limit_of_the_route_applies);
+  CPPUNIT_TEST(a_non_repeatable_request_is_sent_once);
   CPPUNIT_TEST(a_failure_does_not_end_a_request_that_another_replica_works_on);
-  CPPUNIT_TEST(a_replica_that_ends_under_a_request_is_noted_though_another_one_answers);
-  CPPUNIT_TEST(no_call_goes_out_until_it_is_known_whether_a_replica_has_ended);
+  CPPUNIT_TEST(a_crash_is_recorded_though_another_replica_answers);
+  CPPUNIT_TEST(no_call_is_sent_during_a_crash_check);
   CPPUNIT_TEST(second_calls_stay_few_when_all_are_slow);
   CPPUNIT_TEST(a_service_that_refuses_for_load_gets_no_second_calls);
   CPPUNIT_TEST(no_second_call_without_a_free_place);
-  CPPUNIT_TEST(what_may_end_replicas_gets_no_second_call);
+  CPPUNIT_TEST(a_crash_suspect_gets_no_second_call);
   CPPUNIT_TEST(a_request_counts_once);
-  CPPUNIT_TEST(a_client_that_leaves_ends_both_calls);
-  CPPUNIT_TEST(switched_off_a_call_is_repeated_after_its_patience);
-  CPPUNIT_TEST(calls_of_the_coordinator_get_none);
+  CPPUNIT_TEST(a_disconnecting_client_cancels_both_calls);
+  CPPUNIT_TEST(without_second_calls_a_call_is_repeated_after_its_timeout);
+  CPPUNIT_TEST(coordinator_calls_get_no_second_calls);
   CPPUNIT_TEST_SUITE_END();
 
   static ForwarderSettings settings_with(bool second_calls) {
@@ -100,7 +100,7 @@
   }
 
   struct World {
-    explicit World(std::uint32_t most_attempts = 3, bool second_calls = true)
+    explicit World(std::uint32_t max_attempts = 3, bool second_calls = true)
         : forwarder(directory, replicas, settings_with(second_calls), 1, time, metrics, &observer) {
       route.name = "desk";
       route.host = "host";
@@ -108,7 +108,7 @@
       route.kind = RouteKind::kRepeatable;
       route.timeout = seconds(2);
       route.target_latency = milliseconds(400);
-      route.most_attempts = most_attempts;
+      route.max_attempts = max_attempts;
       route.targets = {{core::ServiceName("desk"), 1}};
     }
     void add(const std::string& id, const std::string& zone, std::uint32_t slots = 6) {
@@ -120,9 +120,9 @@
       directory.apply({{record}, {}});
       replicas.replicas[id] = {};
     }
-    /// The calls before \p number go to replicas of \p ids in turn; the others take work from then
-    /// on.
-    void send_in_turn(std::vector<std::string> ids) {
+    /// Sends the calls before \p number to the replicas \p ids in sequence; the others accept work
+    /// afterwards.
+    void send_in_sequence(std::vector<std::string> ids) {
       replicas.on_call = [this, ids](std::size_t number) {
         for (const auto& [id, replica] : directory.replicas()) {
           replica->record.draining = number < ids.size() && id.value() != ids[number];
@@ -151,7 +151,7 @@
       co_await forwarder.serve(std::move(request), response);
       co_return true;
     }
-    /// \return the status of the answer to one request; none of its calls is out any more then.
+    /// \return the status of the answer to one request, once none of its calls is outstanding.
     unsigned serve() {
       support::KeptResponse response;
       const core::MonotonicTime began = time.now();
@@ -177,16 +177,16 @@
       return running;
     }
 
-    WatchedClient replicas;
+    ObservedClient replicas;
     ReplicaDirectory directory;
     Route route;
     core::SystemTimeSource time;
     core::Metrics metrics;
     CountingObserver observer;
     Forwarder forwarder;
-    core::Duration held{};  ///< how long the last request took
+    core::Duration held{};  ///< duration of the last request
     int made_requests = 0;
-    boost::asio::io_context context;  ///< goes first, with the calls that are out
+    boost::asio::io_context context;  ///< destroyed first, with the outstanding calls
   };
   using Names = std::vector<std::string>;
 
@@ -200,10 +200,10 @@
     World world;
     add_three(world);
     world.replicas.replicas["r0"].silent = true;
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.held < world.route.target_latency);
-    // In another zone, though one of the own has places too.
+    // In another zone, although a replica of the own zone has free slots too.
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0", "r2"}));
     CPPUNIT_ASSERT_EQUAL(0, world.running_calls());
     CPPUNIT_ASSERT_EQUAL(1.0, world.counted("sent"));
@@ -215,16 +215,16 @@
     World world;
     add_three(world);
     world.replicas.replicas["r0"].silent = true;
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     world.serve();
-    CPPUNIT_ASSERT(!world.is_suspect("r0"));  // one call in twenty takes as long by chance
-    world.send_in_turn({"r0"});
+    CPPUNIT_ASSERT(!world.is_suspect("r0"));  // one call in twenty takes that long by chance
+    world.send_in_sequence({"r0"});
     world.serve();
     CPPUNIT_ASSERT(world.is_suspect("r0"));
     CPPUNIT_ASSERT(!world.is_suspect("r2"));
-    // An answer ends the row.
+    // An answer resets the count of consecutive unanswered calls.
     world.replicas.replicas["r0"].silent = false;
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     world.serve();
     CPPUNIT_ASSERT_EQUAL(0, int{world.replica("r0")->overtaken_calls});
   }
@@ -234,13 +234,13 @@
     add_three(world);
     world.replicas.replicas["r0"].answer_time = milliseconds(280);
     world.replicas.replicas["r2"].answer_time = milliseconds(600);
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0", "r2"}));
     CPPUNIT_ASSERT_EQUAL(1, world.replicas.replicas["r0"].answered_calls);
     CPPUNIT_ASSERT_EQUAL(0, world.replicas.replicas["r2"].answered_calls);
     CPPUNIT_ASSERT_EQUAL(0, world.running_calls());
-    // The call that was cut says nothing of its replica.
+    // A cancelled call says nothing about its replica.
     CPPUNIT_ASSERT_EQUAL(0.0, world.replica("r2")->latency_seconds);
     CPPUNIT_ASSERT_EQUAL(0u, world.replica("r2")->in_flight);
     CPPUNIT_ASSERT(!world.is_suspect("r2"));
@@ -255,8 +255,8 @@
     add_three(world);
     world.replicas.replicas["r0"].answer_time = milliseconds(1000);
     world.replicas.replicas["r2"].answer_time = milliseconds(100);
-    world.send_in_turn({"r0"});
-    // It answers somebody while the call is out.
+    world.send_in_sequence({"r0"});
+    // The replica answers another request while the call is outstanding.
     world.replicas.on_call = [&world, set = world.replicas.on_call](std::size_t number) {
       set(number);
       if (number == 2) {
@@ -266,21 +266,21 @@
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT_EQUAL(1.0, world.counted("won"));
     CPPUNIT_ASSERT(!world.is_suspect("r0"));
-    CPPUNIT_ASSERT(world.replica("r0")->latency_seconds > 0.25);  // as long as it took at least
+    CPPUNIT_ASSERT(world.replica("r0")->latency_seconds > 0.25);  // at least the time that it took
   }
 
-  void two_silent_replicas_are_passed_by_a_third_call() {
+  void a_third_call_bypasses_two_silent_replicas() {
     World world;
     add_three(world);
     world.replicas.replicas["r0"].silent = true;
     world.replicas.replicas["r2"].silent = true;
-    world.send_in_turn({"r0", "r2"});
+    world.send_in_sequence({"r0", "r2"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0", "r2", "r1"}));
     CPPUNIT_ASSERT(world.held < seconds(1));
     CPPUNIT_ASSERT(world.is_suspect("r0"));  // silent for twice the usual time
     CPPUNIT_ASSERT_EQUAL(0, world.running_calls());
-    // The last one may take all that is left, and no more.
+    // The last call may take all the remaining time, and no more.
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, world.replicas.times_left.size());
     CPPUNIT_ASSERT(world.replicas.times_left[2] <= world.route.timeout - milliseconds(320));
     CPPUNIT_ASSERT(world.replicas.times_left[2] > world.replicas.times_left[1]);
@@ -288,28 +288,29 @@
     CPPUNIT_ASSERT_EQUAL(2.0, world.counted("cut"));
   }
 
-  void the_attempts_of_the_route_are_kept() {
-    for (std::uint32_t most_attempts = 1; most_attempts <= 3; ++most_attempts) {
-      World world(most_attempts);
+  void the_attempt_limit_of_the_route_applies() {
+    for (std::uint32_t max_attempts = 1; max_attempts <= 3; ++max_attempts) {
+      World world(max_attempts);
       world.route.timeout = milliseconds(800);
       for (int index = 0; index < 5; ++index) {
         world.add("r" + std::to_string(index), index % 2 == 0 ? "a" : "b");
         world.replicas.replicas["r" + std::to_string(index)].silent = true;
       }
       CPPUNIT_ASSERT_EQUAL(504u, world.serve());
-      CPPUNIT_ASSERT_EQUAL(std::size_t{most_attempts}, world.replicas.calls.size());
-      CPPUNIT_ASSERT(world.held >= milliseconds(780));  // not given up while one may still answer
+      CPPUNIT_ASSERT_EQUAL(std::size_t{max_attempts}, world.replicas.calls.size());
+      // not given up while a replica may still answer
+      CPPUNIT_ASSERT(world.held >= milliseconds(780));
       CPPUNIT_ASSERT_EQUAL(0, world.running_calls());
     }
   }
 
-  void what_may_not_repeat_is_sent_once() {
+  void a_non_repeatable_request_is_sent_once() {
     World world;
     add_three(world);
     world.route.kind = RouteKind::kOnce;
     world.route.timeout = milliseconds(800);
     world.replicas.replicas["r0"].silent = true;
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(504u, world.serve());
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0"}));
     CPPUNIT_ASSERT_EQUAL(0.0, world.counted("sent"));
@@ -321,14 +322,14 @@
     world.replicas.replicas["r0"].answer_time = milliseconds(250);
     world.replicas.replicas["r0"].fail = 1;
     world.replicas.replicas["r2"].answer_time = milliseconds(300);
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0", "r2"}));
     CPPUNIT_ASSERT_EQUAL(1, world.observer.runs);
     CPPUNIT_ASSERT_EQUAL(0, world.observer.open);
   }
 
-  void a_replica_that_ends_under_a_request_is_noted_though_another_one_answers() {
+  void a_crash_is_recorded_though_another_replica_answers() {
     World world;
     add_three(world);
     world.replicas.replicas["r0"].answer_time = milliseconds(200);
@@ -336,7 +337,7 @@
     world.replicas.replicas["r2"].answer_time = milliseconds(100);
     world.replicas.broken_by = "r0";
     world.replicas.look_time = milliseconds(600);
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0", "r2"}));
     CPPUNIT_ASSERT(world.held < milliseconds(600));
@@ -347,14 +348,14 @@
     CPPUNIT_ASSERT_EQUAL(1, world.observer.runs);
   }
 
-  void no_call_goes_out_until_it_is_known_whether_a_replica_has_ended() {
+  void no_call_is_sent_during_a_crash_check() {
     World world;
     add_three(world);
     world.replicas.replicas["r0"].answer_time = milliseconds(10);
     world.replicas.replicas["r0"].ended = true;
     world.replicas.broken_by = "r0";
     world.replicas.look_time = milliseconds(400);
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.held >= milliseconds(400));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, world.replicas.calls.size());
@@ -388,7 +389,7 @@
     for (const support::KeptResponse& response : responses) {
       CPPUNIT_ASSERT_EQUAL(200u, response.kept.status);
     }
-    const std::size_t asked = kQuick + responses.size();  // within the window of the budget
+    const std::size_t asked = kQuick + responses.size();  // within the budget's window
     CPPUNIT_ASSERT(world.replicas.calls.size() >= asked);
     CPPUNIT_ASSERT(world.replicas.calls.size() <= asked + asked / 10);
   }
@@ -399,10 +400,10 @@
     world.route.target_latency = milliseconds(100);
     world.replicas.replicas["r0"].refuse = 1;
     world.replicas.replicas["r1"].silent = true;
-    world.send_in_turn({"r0", "r1"});
+    world.send_in_sequence({"r0", "r1"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT_EQUAL(0.0, world.counted("sent"));
-    CPPUNIT_ASSERT(world.held >= milliseconds(300));  // its patience
+    CPPUNIT_ASSERT(world.held >= milliseconds(300));  // the attempt timeout
     CPPUNIT_ASSERT_EQUAL(std::string("r1"), world.replicas.calls[1]);
   }
 
@@ -412,21 +413,21 @@
     world.add("r1", "b", 1);
     world.replicas.replicas["r0"].answer_time = milliseconds(400);
     const InFlight other(world.replica("r1"));
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0"}));
     CPPUNIT_ASSERT_EQUAL(0.0, world.counted("sent"));
     CPPUNIT_ASSERT_EQUAL(0.0, world.counted("over_budget"));
   }
 
-  void what_may_end_replicas_gets_no_second_call() {
+  void a_crash_suspect_gets_no_second_call() {
     World world(2);
     add_three(world);
     quarantine::Suspect suspect;
     suspect.content = world.request().fingerprint();
     suspect.ended = {core::ReplicaId("before")};
     suspect.forget_at = world.time.now() + seconds(60);
-    world.forwarder.guard().hear(suspect);
+    world.forwarder.guard().apply_remote_suspect(suspect);
     CPPUNIT_ASSERT(world.forwarder.guard().is_suspect(suspect.content));
     for (auto& [id, replica] : world.replicas.replicas) {
       replica.answer_time = milliseconds(400);
@@ -440,18 +441,18 @@
     World world;
     add_three(world);
     world.replicas.replicas["r0"].silent = true;
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     const core::MonotonicTime began = world.time.now();
     world.serve();
     CPPUNIT_ASSERT_EQUAL(1, world.observer.runs);
     CPPUNIT_ASSERT_EQUAL(0, world.observer.open);
-    // It counts by the call that was answered.
+    // The request counts for the call that was answered.
     CPPUNIT_ASSERT(world.observer.last_sent_at >= began + milliseconds(160));
-    // The second one is refused, and the first one is answered after all.
+    // The second call is refused, and the first one is answered after all.
     world.replicas.replicas["r0"].silent = false;
     world.replicas.replicas["r0"].answer_time = milliseconds(300);
     world.replicas.replicas["r2"].refuse = 1;
-    world.send_in_turn({"r0", "r2"});
+    world.send_in_sequence({"r0", "r2"});
     const core::MonotonicTime again = world.time.now();
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0", "r2"}));
@@ -460,12 +461,12 @@
     CPPUNIT_ASSERT(world.observer.last_sent_at < again + milliseconds(160));
   }
 
-  void a_client_that_leaves_ends_both_calls() {
+  void a_disconnecting_client_cancels_both_calls() {
     World world;
     add_three(world);
     world.replicas.replicas["r0"].silent = true;
     world.replicas.replicas["r2"].silent = true;
-    world.send_in_turn({"r0", "r2"});
+    world.send_in_sequence({"r0", "r2"});
     support::KeptResponse response;
     bool is_done = false;
     boost::asio::co_spawn(world.context, world.answer(world.request(), response),
@@ -484,22 +485,22 @@
     CPPUNIT_ASSERT_EQUAL(0, world.observer.open);
   }
 
-  void switched_off_a_call_is_repeated_after_its_patience() {
+  void without_second_calls_a_call_is_repeated_after_its_timeout() {
     World world(3, false);
     add_three(world);
     world.route.target_latency = milliseconds(100);
     world.replicas.replicas["r0"].silent = true;
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.held >= milliseconds(300));
     CPPUNIT_ASSERT_EQUAL(0.0, world.counted("sent"));
   }
 
-  void calls_of_the_coordinator_get_none() {
+  void coordinator_calls_get_no_second_calls() {
     World world;
     add_three(world);
     world.replicas.replicas["r0"].answer_time = milliseconds(400);
-    world.send_in_turn({"r0"});
+    world.send_in_sequence({"r0"});
     const ForwardResult result =
         support::run_task(world.context, world.forwarder.call(world.request()));
     CPPUNIT_ASSERT(result.has_value());
--- a/tests/unit/ingress/load_ledger_test.cpp
+++ b/tests/unit/ingress/load_statistics_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the ledger of load says after requests were answered, refused, cut and left waiting.
-#include "ingress/load_ledger.hpp"
+/// Load statistics after requests were answered, refused, cancelled or left waiting.
+#include "ingress/load_statistics.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -9,16 +9,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class LoadLedgerTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LoadLedgerTest);
-  CPPUNIT_TEST(each_end_is_counted_once_for_service_and_tenant);
-  CPPUNIT_TEST(refusals_of_a_crowd_are_told_by_reason);
-  CPPUNIT_TEST(those_that_wait_show_with_the_longest_wait);
-  CPPUNIT_TEST(the_last_seconds_fade_and_the_total_stays);
+class LoadStatisticsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LoadStatisticsTest);
+  CPPUNIT_TEST(each_outcome_is_counted_once_for_service_and_tenant);
+  CPPUNIT_TEST(refusals_are_counted_by_reason);
+  CPPUNIT_TEST(waiting_requests_show_the_longest_wait);
+  CPPUNIT_TEST(recent_counts_expire_and_totals_remain);
   CPPUNIT_TEST(a_caller_that_leaves_while_it_waits_is_abandoned);
-  CPPUNIT_TEST(a_request_may_outlive_the_owner_of_the_ledger);
-  CPPUNIT_TEST(ten_thousand_tenants_take_the_room_of_a_few);
-  CPPUNIT_TEST(a_greedy_tenant_stays_named_among_many_small_ones);
+  CPPUNIT_TEST(a_request_may_outlive_the_owner_of_the_statistics);
+  CPPUNIT_TEST(memory_is_bounded_with_ten_thousand_tenants);
+  CPPUNIT_TEST(the_most_active_tenant_keeps_its_entry);
   CPPUNIT_TEST(a_flood_of_service_names_is_bounded);
   CPPUNIT_TEST_SUITE_END();
 
@@ -28,30 +28,30 @@
   static constexpr core::MonotonicTime kStart{seconds(1000)};
 
   struct World {
-    LoadLedger::Request begin(const core::TenantName& tenant, core::MonotonicTime now = kStart,
-                              const core::ServiceName& service = kDesk) const {
-      return {ledger, service, tenant, now};
+    LoadStatistics::Request begin(const core::TenantName& tenant, core::MonotonicTime now = kStart,
+                                  const core::ServiceName& service = kDesk) const {
+      return {statistics, service, tenant, now};
     }
     LoadEntry desk(core::MonotonicTime now = kStart) const {
-      return ledger->services(now).at(kDesk);
+      return statistics->services(now).at(kDesk);
     }
     LoadEntry of(const core::TenantName& tenant, core::MonotonicTime now = kStart) const {
-      return ledger->tenants(now).at(tenant);
+      return statistics->tenants(now).at(tenant);
     }
-    /// \return what all tenants asked, named and others.
+    /// \return the requests of all tenants, including those without their own entry.
     std::uint64_t asked_by_all(core::MonotonicTime now) const {
-      std::uint64_t asked = ledger->other_tenants(now).total.asked;
-      for (const auto& [tenant, entry] : ledger->tenants(now)) {
+      std::uint64_t asked = statistics->other_tenants(now).total.asked;
+      for (const auto& [tenant, entry] : statistics->tenants(now)) {
         asked += entry.total.asked;
       }
       return asked;
     }
-    std::shared_ptr<LoadLedger> ledger = std::make_shared<LoadLedger>();
+    std::shared_ptr<LoadStatistics> statistics = std::make_shared<LoadStatistics>();
   };
 
-  void each_end_is_counted_once_for_service_and_tenant() {
+  void each_outcome_is_counted_once_for_service_and_tenant() {
     const World world;
-    LoadLedger::Request answered = world.begin(kAnn);
+    LoadStatistics::Request answered = world.begin(kAnn);
     answered.sent(kStart);
     answered.refused_by_replica(kStart);
     answered.sent(kStart);
@@ -59,7 +59,7 @@
     answered.second_call_won(kStart);
     answered.answered(kStart);
     answered.failed(kStart);
-    LoadLedger::Request failed = world.begin(kBob);
+    LoadStatistics::Request failed = world.begin(kBob);
     failed.end_unanswered(std::nullopt, kStart);
     LoadCounts both;
     both.asked = 2;
@@ -76,11 +76,11 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.of(kBob).total.failed);
   }
 
-  /// A crowd of 300, of which each third is refused for load and each fifth by replicas.
-  void refusals_of_a_crowd_are_told_by_reason() {
+  /// Of 300 requests every third is refused for load and every fifth by replicas.
+  void refusals_are_counted_by_reason() {
     const World world;
     for (int request = 0; request < 300; ++request) {
-      LoadLedger::Request one = world.begin(kAnn);
+      LoadStatistics::Request one = world.begin(kAnn);
       if (request % 3 == 0) {
         one.refused(RefusalReason::kOverload, kStart);
       } else if (request % 5 == 0) {
@@ -97,14 +97,14 @@
     CPPUNIT_ASSERT_EQUAL(std::string_view("too_late"), to_string(RefusalReason::kTooLate));
   }
 
-  void those_that_wait_show_with_the_longest_wait() {
+  void waiting_requests_show_the_longest_wait() {
     const World world;
-    LoadLedger::Request first = world.begin(kAnn);
+    LoadStatistics::Request first = world.begin(kAnn);
     first.wait(kStart);
-    LoadLedger::Request second = world.begin(kBob, kStart + milliseconds(300));
+    LoadStatistics::Request second = world.begin(kBob, kStart + milliseconds(300));
     second.wait(kStart + milliseconds(300));
     const core::MonotonicTime later = kStart + milliseconds(500);
-    first.wait(later);  // it looks again and goes on waiting
+    first.wait(later);  // it looks for a replica again and continues to wait
     CPPUNIT_ASSERT_EQUAL(2u, world.desk(later).waiting);
     CPPUNIT_ASSERT(world.desk(later).recent.longest_wait == core::Duration(milliseconds(500)));
     CPPUNIT_ASSERT(world.of(kBob, later).recent.longest_wait == core::Duration(milliseconds(200)));
@@ -116,7 +116,7 @@
     CPPUNIT_ASSERT_EQUAL(0u, world.desk(later).waiting);
   }
 
-  void the_last_seconds_fade_and_the_total_stays() {
+  void recent_counts_expire_and_totals_remain() {
     const World world;
     for (int second = 0; second < 30; ++second) {
       world.begin(kAnn, kStart + seconds(second)).answered(kStart + seconds(second));
@@ -130,9 +130,9 @@
   void a_caller_that_leaves_while_it_waits_is_abandoned() {
     const World world;
     {
-      LoadLedger::Request left = world.begin(kAnn);
+      LoadStatistics::Request left = world.begin(kAnn);
       left.wait(kStart);
-      LoadLedger::Request moved = std::move(left);
+      LoadStatistics::Request moved = std::move(left);
       world.begin(kBob, kStart + seconds(1)).answered(kStart + seconds(1));
     }
     const LoadEntry entry = world.desk(kStart + seconds(1));
@@ -141,34 +141,34 @@
     CPPUNIT_ASSERT(entry.total.longest_wait == core::Duration(seconds(1)));
   }
 
-  void a_request_may_outlive_the_owner_of_the_ledger() {
-    LoadLedger::Request request;
+  void a_request_may_outlive_the_owner_of_the_statistics() {
+    LoadStatistics::Request request;
     {
       const World world;
       request = world.begin(kAnn);
       request.wait(kStart);
     }
     request.answered(kStart);
-    LoadLedger::Request of_nothing;
+    LoadStatistics::Request of_nothing;
     of_nothing.wait(kStart);
     of_nothing.sent(kStart);
     of_nothing.answered(kStart);
   }
 
-  void ten_thousand_tenants_take_the_room_of_a_few() {
+  void memory_is_bounded_with_ten_thousand_tenants() {
     const World world;
     for (int tenant = 0; tenant < 10'000; ++tenant) {
       const core::MonotonicTime now = kStart + milliseconds(tenant);
       world.begin(core::TenantName("t" + std::to_string(tenant)), now).answered(now);
     }
     const core::MonotonicTime end = kStart + seconds(10);
-    CPPUNIT_ASSERT_EQUAL(LoadLedger::kMostTenants, world.ledger->tenants(end).size());
+    CPPUNIT_ASSERT_EQUAL(LoadStatistics::kMaxTenants, world.statistics->tenants(end).size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'000}, world.asked_by_all(end));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'000}, world.desk(end).total.answered);
   }
 
-  /// One tenant sends each second request, 500 others the rest, in turn.
-  void a_greedy_tenant_stays_named_among_many_small_ones() {
+  /// One tenant sends every second request, 500 others send the rest in turn.
+  void the_most_active_tenant_keeps_its_entry() {
     const World world;
     for (int request = 0; request < 4000; ++request) {
       const core::MonotonicTime now = kStart + milliseconds(request);
@@ -178,13 +178,13 @@
     const core::MonotonicTime end = kStart + seconds(4);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, world.of(kBob, end).recent.asked);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4000}, world.asked_by_all(end));
-    LoadLedger::Request waits = world.begin(core::TenantName("t9999"), end);
+    LoadStatistics::Request waits = world.begin(core::TenantName("t9999"), end);
     waits.wait(end);
-    for (int tenant = 0; tenant < 200; ++tenant) {  // it gives way while it waits
+    for (int tenant = 0; tenant < 200; ++tenant) {  // its entry is evicted while it waits
       world.begin(core::TenantName("u" + std::to_string(tenant)), end).answered(end);
     }
-    std::uint32_t waiting = world.ledger->other_tenants(end).waiting;
-    for (const auto& [tenant, entry] : world.ledger->tenants(end)) {
+    std::uint32_t waiting = world.statistics->other_tenants(end).waiting;
+    for (const auto& [tenant, entry] : world.statistics->tenants(end)) {
       waiting += entry.waiting;
     }
     CPPUNIT_ASSERT_EQUAL(1u, waiting);
@@ -195,13 +195,13 @@
     for (int service = 0; service < 1000; ++service) {
       world.begin(kAnn, kStart, core::ServiceName("s" + std::to_string(service))).answered(kStart);
     }
-    const LoadLedger::Services services = world.ledger->services(kStart);
-    CPPUNIT_ASSERT_EQUAL(LoadLedger::kMostServices, services.size());
-    CPPUNIT_ASSERT_EQUAL(1000 - LoadLedger::kMostServices,
-                         std::size_t{world.ledger->other_services(kStart).total.answered});
+    const LoadStatistics::Services services = world.statistics->services(kStart);
+    CPPUNIT_ASSERT_EQUAL(LoadStatistics::kMaxServices, services.size());
+    CPPUNIT_ASSERT_EQUAL(1000 - LoadStatistics::kMaxServices,
+                         std::size_t{world.statistics->other_services(kStart).total.answered});
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LoadLedgerTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LoadStatisticsTest);
 
 }  // namespace stoneport::ingress
--- a/tests/unit/ingress/outlier_detector_test.cpp
+++ b/tests/unit/ingress/outlier_detector_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// When a replica is ejected and for how long, as sequences of outcomes.
+/// When a replica is ejected and for how long, for sequences of outcomes.
 #include "ingress/outlier_detector.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -21,7 +21,7 @@
   CPPUNIT_TEST_SUITE(OutlierDetectorTest);
   CPPUNIT_TEST(sequences);
   CPPUNIT_TEST(ejections_grow_and_end);
-  CPPUNIT_TEST(late_failures_of_old_work_do_not_lengthen_it);
+  CPPUNIT_TEST(failures_from_before_an_ejection_do_not_extend_it);
   CPPUNIT_TEST(a_failing_replica_is_left_out);
   CPPUNIT_TEST(with_most_ejected_all_are_used);
   CPPUNIT_TEST_SUITE_END();
@@ -57,7 +57,7 @@
     CPPUNIT_ASSERT(detector.note_failure(at(0)));
     CPPUNIT_ASSERT(detector.is_ejected(at(1499)));
     CPPUNIT_ASSERT(!detector.is_ejected(at(1500)));
-    // On trial: it fails again at once and stays out for twice as long.
+    // On trial: it fails again immediately and is ejected for twice as long.
     detector.note_failure(at(1500));
     CPPUNIT_ASSERT(detector.note_failure(at(1500)));
     CPPUNIT_ASSERT(detector.is_ejected(at(4499)));
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT(!detector.is_ejected(at(10500)));
   }
 
-  void late_failures_of_old_work_do_not_lengthen_it() {
+  void failures_from_before_an_ejection_do_not_extend_it() {
     OutlierDetector detector;
     detector.note_failure(at(0));
     detector.note_failure(at(0));
@@ -111,7 +111,7 @@
     CPPUNIT_ASSERT((std::set<std::string>{"0", "2"}) == chosen(three));
   }
 
-  /// What fails everywhere is no outlier; whoever is left would only break down too.
+  /// If most replicas fail, none is an outlier, and the remaining ones could not carry the load.
   void with_most_ejected_all_are_used() {
     const std::vector<ReplicaPointer> three = replicas(3);
     eject(three[0]);
--- a/tests/unit/ingress/replica_directory_test.cpp
+++ b/tests/unit/ingress/replica_directory_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The listing of replicas: whole listings and changes of them come to the same.
+/// The replica listing: full listings and incremental changes have the same result.
 #include "ingress/replica_directory.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,10 +11,10 @@
   CPPUNIT_TEST(an_empty_first_listing_counts_as_loaded);
   CPPUNIT_TEST(changes_keep_what_is_known_of_a_replica);
   CPPUNIT_TEST(replicas_of_a_service_stay_in_order_of_id);
-  CPPUNIT_TEST(a_replica_that_starts_to_drain_or_goes_is_told);
+  CPPUNIT_TEST(draining_and_removed_replicas_are_returned);
   CPPUNIT_TEST(a_whole_listing_removes_what_it_does_not_name);
   CPPUNIT_TEST(a_row_may_name_another_service);
-  CPPUNIT_TEST(replicas_of_a_zone_that_comes_back_count_as_cold);
+  CPPUNIT_TEST(replicas_of_a_reopened_zone_count_as_cold);
   CPPUNIT_TEST(a_kept_connection_is_used_unless_its_replica_is_busy_or_slow);
   CPPUNIT_TEST(another_region_gets_a_call_only_when_the_own_one_is_worse);
   CPPUNIT_TEST_SUITE_END();
@@ -39,11 +39,11 @@
     return joined;
   }
 
-  void replicas_of_a_zone_that_comes_back_count_as_cold() {
+  void replicas_of_a_reopened_zone_count_as_cold() {
     const core::MonotonicTime now{std::chrono::seconds(100)};
     const core::ZoneName east("east");
     ReplicaDirectory directory;
-    directory.gate().cold_pace().replace_limits({{kModels, {std::chrono::seconds(4), 5}}});
+    directory.gate().cold_rate_limiter().replace_limits({{kModels, {std::chrono::seconds(4), 5}}});
     std::vector<ReplicaRecord> records = {record("a"), record("b"), record("c")};
     records[0].zone = east;
     records[1].zone = east;
@@ -57,7 +57,7 @@
     CPPUNIT_ASSERT(cold_until("a") == now + std::chrono::seconds(4));
     CPPUNIT_ASSERT(cold_until("b") == core::MonotonicTime());
     CPPUNIT_ASSERT(cold_until("c") == core::MonotonicTime());
-    // A row from before it went cold changes nothing; one that says more is believed.
+    // A row from before it became cold changes nothing; one with a later end applies.
     directory.update(records);
     CPPUNIT_ASSERT(cold_until("a") == now + std::chrono::seconds(4));
     records[0].cold_until = now + std::chrono::seconds(6);
@@ -79,7 +79,7 @@
     const ReplicaPointer a = directory.of_service(kModels)[0];
     const ReplicaPointer b = directory.of_service(kModels)[1];
     a->in_flight = 3;
-    a->record.versions[kModel] = core::WeightVersion(5);  // a stream has told
+    a->record.versions[kModel] = core::WeightVersion(5);  // reported by a stream
     directory.apply({{record("a", 4)}, {}});
     CPPUNIT_ASSERT(directory.of_service(kModels)[0] == a);
     CPPUNIT_ASSERT(directory.of_service(kModels)[1] == b);
@@ -97,7 +97,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, directory.size());
   }
 
-  void a_replica_that_starts_to_drain_or_goes_is_told() {
+  void draining_and_removed_replicas_are_returned() {
     ReplicaDirectory directory;
     directory.apply({{record("a"), record("b")}, {}});
     const ReplicaPointer b = directory.of_service(kModels)[1];
@@ -135,8 +135,8 @@
       std::uint32_t in_flight;
       double latency_seconds;
       bool suspect;
-      bool stays;   ///< all calls stay in the own region
-      bool leaves;  ///< some calls leave it
+      bool stays;   ///< whether all calls stay in the own region
+      bool leaves;  ///< whether some calls leave it
     };
     const Case cases[] = {
         {"idle", 0, 0.03, false, true, false},  {"one call each", 1, 0.03, false, true, false},
@@ -180,7 +180,7 @@
       std::uint32_t in_flight;
       double latency_seconds;
       bool suspect;
-      bool expected;  ///< all calls go to the connected replica
+      bool expected;  ///< whether all calls use the connected replica
     };
     const Case cases[] = {
         {"idle", 0, 0.02, false, true},
--- a/tests/unit/ingress/replica_window_test.cpp
+++ b/tests/unit/ingress/replica_window_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Windows of replicas: what they cost as a service grows, how callers spread, and when they grow.
+/// Replica windows: their cost as a service grows, how callers spread, and when windows are
+/// extended.
 #include "ingress/replica_window.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -29,7 +30,7 @@
   return made;
 }
 
-/// A service, and how many of its replicas were looked at.
+/// A service that counts how many of its replicas are visited.
 struct Service {
   explicit Service(std::size_t count) { directory.update(records(count)); }
 
@@ -56,8 +57,8 @@
   CPPUNIT_TEST(callers_spread_over_the_service);
   CPPUNIT_TEST(a_window_grows_while_its_replicas_are_full);
   CPPUNIT_TEST(a_window_stays_where_it_is_as_replicas_come_and_go);
-  CPPUNIT_TEST(a_window_goes_around_the_end);
-  CPPUNIT_TEST(replicas_with_later_versions_are_known_without_a_look_at_all);
+  CPPUNIT_TEST(a_window_wraps_around);
+  CPPUNIT_TEST(replicas_with_later_versions_are_found_without_a_full_scan);
   CPPUNIT_TEST_SUITE_END();
 
   void a_request_costs_the_same_in_a_service_of_any_size() {
@@ -74,7 +75,7 @@
     CPPUNIT_ASSERT(Service(0).window("process-1").empty());
   }
 
-  /// 985 windows of 64 over 2,222 replicas: 28 callers a replica on average.
+  /// 985 windows of 64 over 2,222 replicas: 28 callers per replica on average.
   void callers_spread_over_the_service() {
     Service service(2222);
     std::map<core::ReplicaId, std::size_t> callers;
@@ -118,7 +119,7 @@
     CPPUNIT_ASSERT_MESSAGE(std::to_string(kept), kept >= kEnough - 3);
   }
 
-  void a_window_goes_around_the_end() {
+  void a_window_wraps_around() {
     Service service(100);
     const auto all = [](const ReplicaState&) { return true; };
     const std::vector<ReplicaPointer> window =
@@ -127,7 +128,7 @@
     CPPUNIT_ASSERT(window.back() == service.replicas()[53]);
   }
 
-  void replicas_with_later_versions_are_known_without_a_look_at_all() {
+  void replicas_with_later_versions_are_found_without_a_full_scan() {
     const core::ModelName model("model");
     ReplicaDirectory directory;
     std::vector<ReplicaRecord> listed = records(300);
--- a/tests/unit/ingress/route_regions_test.cpp
+++ b/tests/unit/ingress/route_regions_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Regions that a configuration binds requests to, and what of it can never be served.
+/// Region bindings of a configuration, and the detection of those that can never be served.
 #include "ingress/route_regions.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,7 +12,7 @@
   CPPUNIT_TEST(a_host_has_the_regions_of_its_routes);
   CPPUNIT_TEST(jobs_are_bound_to_what_all_their_routes_allow);
   CPPUNIT_TEST(faults_name_unknown_regions_and_pairs_without_one);
-  CPPUNIT_TEST(many_faults_are_cut);
+  CPPUNIT_TEST(the_fault_list_is_truncated);
   CPPUNIT_TEST_SUITE_END();
 
   inline static const core::RegionName kWest{"west"};
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("route r and tenant t allow no region in common"), faults[1]);
   }
 
-  void many_faults_are_cut() {
+  void the_fault_list_is_truncated() {
     std::vector<tenants::TenantDefinition> tenants;
     for (int number = 0; number < 40; ++number) {
       tenants.push_back(tenant("t" + std::to_string(number), {kEast}));
--- a/tests/unit/ingress/shared_health_test.cpp
+++ b/tests/unit/ingress/shared_health_test.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// What a process believes of replicas that others found silent or failing. The load: a service of
-/// six replicas that 82 processes share, each with a request every few seconds, so that none has
-/// seen enough by itself.
+/// Findings of other processes about silent or failing replicas. Models a service of six replicas
+/// shared by 82 processes that each send a request every few seconds, so that no process detects a
+/// bad replica by itself in time.
 #include "ingress/shared_health.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -30,7 +30,7 @@
   return {core::NodeId("node-" + std::to_string(index)), std::move(zone)};
 }
 
-/// One process, with what it hears put in by hand.
+/// One process, with findings of others injected by the test.
 struct Process {
   explicit Process(std::size_t replicas = 6, std::uint64_t seed = 7,
                    SharedHealthSettings settings = {})
@@ -50,13 +50,14 @@
     made.zone = kHere;
     return made;
   }
-  HeardOutcome hear(const HealthReporter& from, std::size_t index, int found_ms, int now_ms,
-                    FindingKind kind = FindingKind::kSilent) {
-    return health.hear(from, {life_of(index), kind, at(found_ms)}, at(now_ms));
+  RemoteFindingOutcome apply_remote_finding(const HealthReporter& from, std::size_t index,
+                                            int found_ms, int now_ms,
+                                            FindingKind kind = FindingKind::kSilent) {
+    return health.apply_remote_finding(from, {life_of(index), kind, at(found_ms)}, at(now_ms));
   }
   ReplicaState& replica(std::size_t index) { return *directory.find(life_of(index)); }
   bool is_avoided(std::size_t index, int now_ms) { return replica(index).is_suspect(at(now_ms)); }
-  /// \return how many of 600 calls to an idle service go to replica \p index.
+  /// \return how many of 600 calls to an idle service are sent to replica \p index.
   std::size_t calls_to(std::size_t index, int now_ms) {
     core::RandomSource random(3);
     std::size_t count = 0;
@@ -78,22 +79,22 @@
 class SharedHealthTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SharedHealthTest);
   CPPUNIT_TEST(two_reporters_make_all_avoid_a_replica);
-  CPPUNIT_TEST(a_replica_is_tried_whatever_others_go_on_telling);
+  CPPUNIT_TEST(a_replica_is_tried_despite_continued_reports);
   CPPUNIT_TEST(an_own_finding_acts_at_once_and_confirms_another);
-  CPPUNIT_TEST(a_wrong_reporter_ejects_nothing);
-  CPPUNIT_TEST(a_lone_report_prefers_others_for_a_while);
-  CPPUNIT_TEST(a_failing_replica_is_told_as_a_silent_one_is);
+  CPPUNIT_TEST(a_single_wrong_reporter_ejects_nothing);
+  CPPUNIT_TEST(a_single_report_lowers_preference_temporarily);
+  CPPUNIT_TEST(failing_replicas_are_reported_like_silent_ones);
   CPPUNIT_TEST(stale_and_unknown_reports_are_dropped);
   CPPUNIT_TEST(a_newer_own_answer_overrules_reports);
-  CPPUNIT_TEST(a_reporter_that_reports_most_is_not_believed);
-  CPPUNIT_TEST(reporters_of_one_other_zone_may_be_cut_off);
+  CPPUNIT_TEST(a_reporter_that_reports_most_is_ignored);
+  CPPUNIT_TEST(reporters_of_one_other_zone_may_be_partitioned);
   CPPUNIT_TEST(no_more_than_half_of_a_service_is_avoided);
-  CPPUNIT_TEST(a_new_life_is_clean);
-  CPPUNIT_TEST(an_answer_lets_all_use_it_again);
-  CPPUNIT_TEST(few_of_82_try_it_again);
-  CPPUNIT_TEST(a_failed_trial_renews_it_for_those_that_wait);
-  CPPUNIT_TEST(who_knows_that_others_told_stays_quiet);
-  CPPUNIT_TEST(a_process_that_finds_most_bad_tells_nobody);
+  CPPUNIT_TEST(a_new_incarnation_has_no_findings);
+  CPPUNIT_TEST(an_answer_ends_the_avoidance);
+  CPPUNIT_TEST(few_of_82_processes_retry_it);
+  CPPUNIT_TEST(a_failed_trial_extends_the_avoidance);
+  CPPUNIT_TEST(a_finding_reported_by_others_is_not_repeated);
+  CPPUNIT_TEST(a_process_that_finds_most_bad_reports_nothing);
   CPPUNIT_TEST(memory_is_bounded);
   CPPUNIT_TEST(calls_that_succeed_leave_nothing);
   CPPUNIT_TEST_SUITE_END();
@@ -101,23 +102,23 @@
  public:
   void two_reporters_make_all_avoid_a_replica() {
     Process process;
-    process.hear(reporter(1), 2, 0, 10);
+    process.apply_remote_finding(reporter(1), 2, 0, 10);
     CPPUNIT_ASSERT(!process.is_avoided(2, 10));
-    const HeardOutcome second = process.hear(reporter(2), 2, 100, 110);
-    CPPUNIT_ASSERT(second == HeardOutcome::kAvoided);
+    const RemoteFindingOutcome second = process.apply_remote_finding(reporter(2), 2, 100, 110);
+    CPPUNIT_ASSERT(second == RemoteFindingOutcome::kAvoided);
     CPPUNIT_ASSERT(process.is_avoided(2, 111));
     CPPUNIT_ASSERT(process.is_avoided(2, 2099));
     CPPUNIT_ASSERT(!process.is_avoided(3, 111));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, process.health.avoided());
   }
 
-  /// Two processes that are cut off alike tell of a sound replica for as long as they live.
-  void a_replica_is_tried_whatever_others_go_on_telling() {
+  /// Two processes behind the same network partition keep reporting a healthy replica.
+  void a_replica_is_tried_despite_continued_reports() {
     Process process;
     bool was_tried = false;
     for (int now_ms = 0; now_ms < 20'000; now_ms += 100) {
-      process.hear(reporter(1), 2, now_ms, now_ms);
-      process.hear(reporter(2), 2, now_ms, now_ms);
+      process.apply_remote_finding(reporter(1), 2, now_ms, now_ms);
+      process.apply_remote_finding(reporter(2), 2, now_ms, now_ms);
       process.health.forget_old(at(now_ms));
       was_tried |= now_ms > 1000 && !process.is_avoided(2, now_ms);
     }
@@ -131,105 +132,122 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, process.told.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, process.health.avoided());
     CPPUNIT_ASSERT(!process.replica(2).is_doubted(at(1)));
-    CPPUNIT_ASSERT(process.hear(reporter(1), 2, 5, 10) == HeardOutcome::kAvoided);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1), 2, 5, 10) ==
+                   RemoteFindingOutcome::kAvoided);
   }
 
-  void a_wrong_reporter_ejects_nothing() {
+  void a_single_wrong_reporter_ejects_nothing() {
     Process process;
     for (int time = 0; time < 60'000; time += 100) {
-      process.hear(reporter(1), 2, time, time + 5);
-      process.hear(reporter(1), 4, time, time + 5, FindingKind::kFailing);
+      process.apply_remote_finding(reporter(1), 2, time, time + 5);
+      process.apply_remote_finding(reporter(1), 4, time, time + 5, FindingKind::kFailing);
       process.health.forget_old(at(time + 5));
       CPPUNIT_ASSERT(!process.is_avoided(2, time + 6));
       CPPUNIT_ASSERT(!process.is_avoided(4, time + 6));
     }
   }
 
-  void a_lone_report_prefers_others_for_a_while() {
+  void a_single_report_lowers_preference_temporarily() {
     Process process;
-    CPPUNIT_ASSERT(process.hear(reporter(1), 2, 0, 10) == HeardOutcome::kDoubted);
-    // The rare call for which the draw gives it twice.
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1), 2, 0, 10) ==
+                   RemoteFindingOutcome::kDoubted);
+    // A few calls draw this replica twice.
     CPPUNIT_ASSERT(process.calls_to(2, 20) < 600 / 20);
     CPPUNIT_ASSERT(process.calls_to(2, 2001) > 600 / 12);
   }
 
-  void a_failing_replica_is_told_as_a_silent_one_is() {
+  void failing_replicas_are_reported_like_silent_ones() {
     Process process;
     process.replica(2).note_failed_run(at(0));
     CPPUNIT_ASSERT(process.told.empty());
     process.replica(2).note_failed_run(at(10));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, process.told.size());
     CPPUNIT_ASSERT(process.told[0].kind == FindingKind::kFailing);
-    CPPUNIT_ASSERT(process.hear(reporter(1), 2, 15, 20, FindingKind::kFailing) ==
-                   HeardOutcome::kAvoided);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1), 2, 15, 20, FindingKind::kFailing) ==
+                   RemoteFindingOutcome::kAvoided);
   }
 
   void stale_and_unknown_reports_are_dropped() {
     Process process;
-    CPPUNIT_ASSERT(process.hear(reporter(1), 2, 0, 2000) == HeardOutcome::kStale);
-    CPPUNIT_ASSERT(process.hear(reporter(1), 9, 0, 10) == HeardOutcome::kUnknownReplica);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1), 2, 0, 2000) ==
+                   RemoteFindingOutcome::kStale);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1), 9, 0, 10) ==
+                   RemoteFindingOutcome::kUnknownReplica);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, process.health.size());
-    // Two reports whose times do not meet confirm nothing.
-    process.hear(reporter(1), 2, 3000, 3010);
-    CPPUNIT_ASSERT(process.hear(reporter(2), 2, 5005, 5010) == HeardOutcome::kDoubted);
-    // A clock cannot lie it into the future.
-    process.hear(reporter(3), 3, 900'000, 6000);
+    // Two findings with disjoint validity periods do not confirm each other.
+    process.apply_remote_finding(reporter(1), 2, 3000, 3010);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(2), 2, 5005, 5010) ==
+                   RemoteFindingOutcome::kDoubted);
+    // A reporter's clock that is ahead cannot extend the validity.
+    process.apply_remote_finding(reporter(3), 3, 900'000, 6000);
     CPPUNIT_ASSERT(!process.replica(3).is_doubted(at(8000)));
   }
 
   void a_newer_own_answer_overrules_reports() {
     Process process;
     process.replica(2).note_success(at(50));
-    CPPUNIT_ASSERT(process.hear(reporter(1), 2, 0, 60) == HeardOutcome::kOverruled);
-    CPPUNIT_ASSERT(process.hear(reporter(2), 2, 40, 60) == HeardOutcome::kOverruled);
-    CPPUNIT_ASSERT(process.hear(reporter(3), 2, 55, 60) == HeardOutcome::kDoubted);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1), 2, 0, 60) ==
+                   RemoteFindingOutcome::kOverruled);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(2), 2, 40, 60) ==
+                   RemoteFindingOutcome::kOverruled);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(3), 2, 55, 60) ==
+                   RemoteFindingOutcome::kDoubted);
     process.replica(2).note_success(at(70));
     CPPUNIT_ASSERT(!process.replica(2).is_doubted(at(71)));
-    CPPUNIT_ASSERT(process.hear(reporter(4), 2, 65, 75) == HeardOutcome::kOverruled);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(4), 2, 65, 75) ==
+                   RemoteFindingOutcome::kOverruled);
   }
 
-  void a_reporter_that_reports_most_is_not_believed() {
+  void a_reporter_that_reports_most_is_ignored() {
     Process process;
-    process.hear(reporter(2), 0, 0, 5);
+    process.apply_remote_finding(reporter(2), 0, 0, 5);
     for (std::size_t index = 0; index < 3; ++index) {
-      process.hear(reporter(1), index, 0, 10);
+      process.apply_remote_finding(reporter(1), index, 0, 10);
     }
     CPPUNIT_ASSERT(process.is_avoided(0, 11));
-    CPPUNIT_ASSERT(process.hear(reporter(1), 3, 0, 12) == HeardOutcome::kReporterCut);
-    // What stood on its word is taken back.
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1), 3, 0, 12) ==
+                   RemoteFindingOutcome::kReporterUnreliable);
+    // Avoidance based on its findings is withdrawn.
     for (std::size_t index = 0; index < 6; ++index) {
       CPPUNIT_ASSERT(!process.is_avoided(index, 13));
     }
     CPPUNIT_ASSERT(process.replica(0).is_doubted(at(13)));
     CPPUNIT_ASSERT(!process.replica(1).is_doubted(at(13)));
-    // It counts again once that has expired.
-    CPPUNIT_ASSERT(process.hear(reporter(1), 3, 3000, 3010) == HeardOutcome::kDoubted);
+    // It counts again once its findings have expired.
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1), 3, 3000, 3010) ==
+                   RemoteFindingOutcome::kDoubted);
   }
 
-  void reporters_of_one_other_zone_may_be_cut_off() {
+  void reporters_of_one_other_zone_may_be_partitioned() {
     Process process;
     for (std::size_t index = 1; index < 10; ++index) {
-      CPPUNIT_ASSERT(process.hear(reporter(index, kElsewhere), 2, 0, 10) == HeardOutcome::kDoubted);
+      CPPUNIT_ASSERT(process.apply_remote_finding(reporter(index, kElsewhere), 2, 0, 10) ==
+                     RemoteFindingOutcome::kDoubted);
     }
-    CPPUNIT_ASSERT(process.hear(reporter(10, kThird), 2, 0, 10) == HeardOutcome::kAvoided);
-    CPPUNIT_ASSERT(process.hear(reporter(1, kElsewhere), 3, 0, 10) == HeardOutcome::kDoubted);
-    CPPUNIT_ASSERT(process.hear(reporter(11, kHere), 3, 0, 10) == HeardOutcome::kAvoided);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(10, kThird), 2, 0, 10) ==
+                   RemoteFindingOutcome::kAvoided);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1, kElsewhere), 3, 0, 10) ==
+                   RemoteFindingOutcome::kDoubted);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(11, kHere), 3, 0, 10) ==
+                   RemoteFindingOutcome::kAvoided);
   }
 
   void no_more_than_half_of_a_service_is_avoided() {
     Process process;
     for (std::size_t index = 0; index < 6; ++index) {
-      process.hear(reporter(1 + 2 * index), index, 0, 10);
-      const HeardOutcome second = process.hear(reporter(2 + 2 * index), index, 0, 10);
-      CPPUNIT_ASSERT(second == (index < 3 ? HeardOutcome::kAvoided : HeardOutcome::kMostAvoided));
+      process.apply_remote_finding(reporter(1 + 2 * index), index, 0, 10);
+      const RemoteFindingOutcome second =
+          process.apply_remote_finding(reporter(2 + 2 * index), index, 0, 10);
+      CPPUNIT_ASSERT(second == (index < 3 ? RemoteFindingOutcome::kAvoided
+                                          : RemoteFindingOutcome::kMostAvoided));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, process.health.avoided());
   }
 
-  void a_new_life_is_clean() {
+  void a_new_incarnation_has_no_findings() {
     Process process;
-    process.hear(reporter(1), 2, 0, 10);
-    process.hear(reporter(2), 2, 0, 10);
+    process.apply_remote_finding(reporter(1), 2, 0, 10);
+    process.apply_remote_finding(reporter(2), 2, 0, 10);
     CPPUNIT_ASSERT(process.is_avoided(2, 11));
     ReplicaChanges changes;
     changes.removed.push_back(life_of(2));
@@ -237,40 +255,42 @@
     process.directory.apply(std::move(changes));
     const ReplicaPointer next = process.directory.find(life_of(2, 2'000));
     CPPUNIT_ASSERT(!next->is_suspect(at(12)) && !next->is_doubted(at(12)));
-    CPPUNIT_ASSERT(process.hear(reporter(3), 2, 20, 30) == HeardOutcome::kUnknownReplica);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(3), 2, 20, 30) ==
+                   RemoteFindingOutcome::kUnknownReplica);
     process.health.forget_old(at(40));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, process.health.avoided());
   }
 
-  void an_answer_lets_all_use_it_again() {
+  void an_answer_ends_the_avoidance() {
     Process process;
-    process.hear(reporter(1), 2, 0, 10);
-    process.hear(reporter(2), 2, 0, 10);
+    process.apply_remote_finding(reporter(1), 2, 0, 10);
+    process.apply_remote_finding(reporter(2), 2, 0, 10);
     // An answer from before the findings changes nothing.
-    process.hear(reporter(3), 2, 100, 110);
-    CPPUNIT_ASSERT(process.hear(reporter(4), 2, 90, 120, FindingKind::kAnswered) ==
-                   HeardOutcome::kCleared);
+    process.apply_remote_finding(reporter(3), 2, 100, 110);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(4), 2, 90, 120, FindingKind::kAnswered) ==
+                   RemoteFindingOutcome::kCleared);
     CPPUNIT_ASSERT(!process.is_avoided(2, 121));
     CPPUNIT_ASSERT(process.replica(2).is_doubted(at(121)));
-    CPPUNIT_ASSERT(process.hear(reporter(4), 2, 130, 140, FindingKind::kAnswered) ==
-                   HeardOutcome::kCleared);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(4), 2, 130, 140, FindingKind::kAnswered) ==
+                   RemoteFindingOutcome::kCleared);
     CPPUNIT_ASSERT(!process.replica(2).is_doubted(at(141)));
-    // Both had found it before; it takes two again.
-    CPPUNIT_ASSERT(process.hear(reporter(1), 2, 200, 210) == HeardOutcome::kDoubted);
+    // Earlier findings were invalidated, so that two new ones are required.
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(1), 2, 200, 210) ==
+                   RemoteFindingOutcome::kDoubted);
   }
 
-  void few_of_82_try_it_again() {
+  void few_of_82_processes_retry_it() {
     constexpr std::size_t kTimes = 50;
     std::vector<std::size_t> trying(9, 0);
     for (std::size_t time = 0; time < kTimes; ++time) {
       std::size_t early = 0;
       for (std::size_t index = 0; index < kProcesses; ++index) {
         Process process(6, time * kProcesses + index);
-        process.hear(reporter(1), 2, 0, 10);
-        process.hear(reporter(2), 2, 0, 10);
+        process.apply_remote_finding(reporter(1), 2, 0, 10);
+        process.apply_remote_finding(reporter(2), 2, 0, 10);
         early += process.is_avoided(2, 2499) ? 0 : 1;
         CPPUNIT_ASSERT(process.is_avoided(2, 1999));
-        // Seven doublings of one in 82.
+        // Seven rounds, doubling from one in 82.
         CPPUNIT_ASSERT(!process.is_avoided(2, 2000 + 7 * 500));
       }
       CPPUNIT_ASSERT(early <= 8);
@@ -280,43 +300,44 @@
     CPPUNIT_ASSERT(trying[0] < kTimes / 2);
   }
 
-  void a_failed_trial_renews_it_for_those_that_wait() {
+  void a_failed_trial_extends_the_avoidance() {
     std::size_t waiting = 0;
     for (std::size_t index = 0; index < kProcesses; ++index) {
       Process process(6, index);
-      process.hear(reporter(1), 2, 0, 10);
-      process.hear(reporter(2), 2, 0, 10);
+      process.apply_remote_finding(reporter(1), 2, 0, 10);
+      process.apply_remote_finding(reporter(2), 2, 0, 10);
       process.health.forget_old(at(2450));
       const bool was_waiting = process.is_avoided(2, 2460);
-      const HeardOutcome outcome = process.hear(reporter(3), 2, 2450, 2460);
-      CPPUNIT_ASSERT(outcome == (was_waiting ? HeardOutcome::kAvoided : HeardOutcome::kDoubted));
+      const RemoteFindingOutcome outcome = process.apply_remote_finding(reporter(3), 2, 2450, 2460);
+      CPPUNIT_ASSERT(outcome == (was_waiting ? RemoteFindingOutcome::kAvoided
+                                             : RemoteFindingOutcome::kDoubted));
       waiting += process.is_avoided(2, 4440) ? 1 : 0;
     }
     CPPUNIT_ASSERT(waiting >= kProcesses - 5);
   }
 
-  void who_knows_that_others_told_stays_quiet() {
+  void a_finding_reported_by_others_is_not_repeated() {
     Process process;
     process.replica(2).suspect(at(0), milliseconds(2000));
     const HealthFinding own = process.told.back();
-    process.hear(reporter(1), 2, 0, 5);
-    process.hear(reporter(2), 2, 0, 5);
-    CPPUNIT_ASSERT(process.health.is_worth_telling(own, at(6)));
-    process.hear(reporter(3), 2, 0, 5);
-    CPPUNIT_ASSERT(!process.health.is_worth_telling(own, at(6)));
-    // A new finding later is news again.
-    CPPUNIT_ASSERT(process.health.is_worth_telling(own, at(1500)));
+    process.apply_remote_finding(reporter(1), 2, 0, 5);
+    process.apply_remote_finding(reporter(2), 2, 0, 5);
+    CPPUNIT_ASSERT(process.health.should_report(own, at(6)));
+    process.apply_remote_finding(reporter(3), 2, 0, 5);
+    CPPUNIT_ASSERT(!process.health.should_report(own, at(6)));
+    // A later finding is reported again.
+    CPPUNIT_ASSERT(process.health.should_report(own, at(1500)));
   }
 
-  void a_process_that_finds_most_bad_tells_nobody() {
+  void a_process_that_finds_most_bad_reports_nothing() {
     Process process;
     for (std::size_t index = 0; index < 4; ++index) {
       process.replica(index).suspect(at(0), milliseconds(2000));
     }
     for (const HealthFinding& finding : process.told) {
-      CPPUNIT_ASSERT(!process.health.is_worth_telling(finding, at(1)));
+      CPPUNIT_ASSERT(!process.health.should_report(finding, at(1)));
     }
-    // Its own findings act on itself all the same.
+    // Its own findings still apply to itself.
     CPPUNIT_ASSERT(process.is_avoided(3, 1));
   }
 
@@ -325,17 +346,18 @@
     Process process(500);
     for (std::size_t from = 1; from <= 600; ++from) {
       for (std::size_t index = 0; index < 70; ++index) {
-        process.hear(reporter(from), index, 0, 10);
+        process.apply_remote_finding(reporter(from), index, 0, 10);
       }
     }
-    CPPUNIT_ASSERT_EQUAL(settings.most_reporters * settings.most_of_reporter,
+    CPPUNIT_ASSERT_EQUAL(settings.max_reporters * settings.max_findings_per_reporter,
                          process.health.size());
-    CPPUNIT_ASSERT(process.hear(reporter(700), 2, 0, 10) == HeardOutcome::kTooMany);
+    CPPUNIT_ASSERT(process.apply_remote_finding(reporter(700), 2, 0, 10) ==
+                   RemoteFindingOutcome::kTooMany);
     process.health.forget_old(at(2000));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, process.health.size());
   }
 
-  /// Deployments without a bad replica see no change.
+  /// Without bad replicas, behaviour and memory are unchanged.
   void calls_that_succeed_leave_nothing() {
     Process process;
     for (int time = 0; time < 1000; ++time) {
--- a/tests/unit/jobs/cold_replicas_test.cpp
+++ b/tests/unit/jobs/cold_replicas_test.cpp
@@ -25,7 +25,7 @@
       });
     }
     static void limit(World::Process& process) {
-      eligibility::ColdPace& pace = process.directory.gate().cold_pace();
+      eligibility::ColdRateLimiter& pace = process.directory.gate().cold_rate_limiter();
       pace.replace_limits({{core::ServiceName("models"), {std::chrono::seconds(3), kRate, false}}});
       pace.replace_bound(kBound);
     }
--- a/tests/unit/jobs/coordinator_world.hpp
+++ b/tests/unit/jobs/coordinator_world.hpp
@@ -119,7 +119,7 @@
     rollout.path_prefix = "/jobs/";
     rollout.kind = ingress::RouteKind::kRollout;
     rollout.timeout = std::chrono::seconds(10);
-    rollout.most_attempts = 3;
+    rollout.max_attempts = 3;
     rollout.targets = {{core::ServiceName("models"), 1}};
     rollout.queue_limit = std::chrono::seconds(30);
     rollout.run_deadline = std::chrono::seconds(8);
--- a/tests/unit/jobs/evacuation_test.cpp
+++ b/tests/unit/jobs/evacuation_test.cpp
@@ -28,8 +28,8 @@
       for (const std::string& zone : zones) {
         listed[core::ZoneName(zone)] = core::Revision(revision);
       }
-      process->directory.gate().evacuations().take_listing(std::move(listed),
-                                                           core::Revision(revision));
+      process->directory.gate().evacuations().apply_listing(std::move(listed),
+                                                            core::Revision(revision));
       process->coordinator->on_inputs_changed();
     }
     std::size_t starts_at(const std::string& replica) const {
--- a/tests/unit/jobs/scorer_test.cpp
+++ b/tests/unit/jobs/scorer_test.cpp
@@ -33,7 +33,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
-    explicit World(std::uint32_t replica_count, std::uint32_t most_attempts = 3,
+    explicit World(std::uint32_t replica_count, std::uint32_t max_attempts = 3,
                    ScorerSettings scorer_settings = {})
         : settings(scorer_settings) {
       std::vector<ingress::ReplicaRecord> records;
@@ -54,7 +54,7 @@
       route.kind = ingress::RouteKind::kRepeatable;
       route.timeout = std::chrono::seconds(3);
       route.target_latency = milliseconds(800);
-      route.most_attempts = most_attempts;
+      route.max_attempts = max_attempts;
       route.targets = {{core::ServiceName("rating"), 1}};
       routes.offer(std::make_shared<ingress::RouteTable>(1, std::vector<ingress::Route>{route},
                                                          ingress::ClientLimits()));
@@ -241,8 +241,8 @@
   /// Rating calls took the places of clients that were left in the other zone.
   void places_in_an_evacuated_zone_are_none() {
     World world(4);
-    world.directory.gate().evacuations().take_listing({{core::ZoneName("odd"), core::Revision(1)}},
-                                                      core::Revision(1));
+    world.directory.gate().evacuations().apply_listing({{core::ZoneName("odd"), core::Revision(1)}},
+                                                       core::Revision(1));
     const std::uint32_t calls = 8;
     const std::uint32_t allowed = 2 * 5 * 2 / 5;
     for (std::uint32_t call = 0; call < calls; ++call) {
--- a/tests/unit/node/load_view_test.cpp
+++ b/tests/unit/node/load_view_test.cpp
@@ -36,14 +36,14 @@
       directory.apply({{record}, {}});
       return directory.find(record.id);
     }
-    ingress::LoadLedger::Request begin(const core::ServiceName& service,
-                                       core::MonotonicTime now = kNow) const {
+    ingress::LoadStatistics::Request begin(const core::ServiceName& service,
+                                           core::MonotonicTime now = kNow) const {
       return {ledger, service, kAnn, now};
     }
     LoadView view() const { return load_view(directory, *ledger, kNow); }
 
     ingress::ReplicaDirectory directory;
-    std::shared_ptr<ingress::LoadLedger> ledger = std::make_shared<ingress::LoadLedger>();
+    std::shared_ptr<ingress::LoadStatistics> ledger = std::make_shared<ingress::LoadStatistics>();
   };
 
   static bool has(const core::Metrics& metrics, const std::string& line) {
@@ -120,7 +120,7 @@
       world.begin(kDesk, now).answered(now);
       published.publish(*world.ledger, now);
     }
-    ingress::LoadLedger::Request waits = world.begin(kDesk, kNow + seconds(3));
+    ingress::LoadStatistics::Request waits = world.begin(kDesk, kNow + seconds(3));
     waits.wait(kNow + seconds(3));
     published.publish(*world.ledger, kNow + seconds(5));
     CPPUNIT_ASSERT(
@@ -137,7 +137,7 @@
     const World world;
     core::Metrics metrics;
     LoadMetrics published(metrics);
-    for (std::size_t index = 0; index < 4 * ingress::LoadLedger::kMostServices; ++index) {
+    for (std::size_t index = 0; index < 4 * ingress::LoadStatistics::kMaxServices; ++index) {
       world.begin(core::ServiceName("s" + std::to_string(index))).answered(kNow);
       published.publish(*world.ledger, kNow);
     }
@@ -148,7 +148,7 @@
          at = text.find(gauge, at + 1)) {
       ++series;
     }
-    CPPUNIT_ASSERT_EQUAL(ingress::LoadLedger::kMostServices, series);
+    CPPUNIT_ASSERT_EQUAL(ingress::LoadStatistics::kMaxServices, series);
   }
 };
 
