--- a/tests/unit/node/suspect_exchange_test.cpp
+++ b/tests/unit/node/suspect_exchange_test.cpp
@@ -105,7 +105,8 @@
       world.client.replicas[id].ended = true;
       const ingress::ReplicaPointer replica = world.directory.find(core::ReplicaId(id));
       const core::RequestFingerprint content(std::string(30, 'c') + std::to_string(index));
-      boost::asio::co_spawn(world.context, world.guard.settle_broken(content, "request", replica),
+      boost::asio::co_spawn(world.context,
+                            world.guard.resolve_broken_call(content, "request", replica),
                             boost::asio::detached);
     }
     world.run_for(milliseconds(100));
--- a/tests/unit/node/suspect_rows_test.cpp
+++ b/tests/unit/node/suspect_rows_test.cpp
@@ -76,7 +76,7 @@
       add_replica(first.directory, id);
       first.client.replicas[id].ended = true;
       const ingress::ReplicaPointer replica = first.directory.find(core::ReplicaId(id));
-      boost::asio::co_spawn(context, first.guard.settle_broken(culprit, "request", replica),
+      boost::asio::co_spawn(context, first.guard.resolve_broken_call(culprit, "request", replica),
                             boost::asio::detached);
     }
     run(context);
@@ -86,8 +86,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.table(kSuspectTable).size());
     Process second(store, context);
     run(context);
-    CPPUNIT_ASSERT(second.guard.suspects().terms_of(culprit) == quarantine::Terms::kHeld);
-    CPPUNIT_ASSERT(second.guard.let_go(culprit));
+    CPPUNIT_ASSERT(second.guard.suspects().restriction_of(culprit) ==
+                   quarantine::RunRestriction::kHeld);
+    CPPUNIT_ASSERT(second.guard.release_suspect(culprit));
     run(context);
     CPPUNIT_ASSERT(store.table(kSuspectTable).empty());
   }
--- a/tests/unit/quarantine/crash_suspects_test.cpp
+++ b/tests/unit/quarantine/crash_suspects_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How the request that crashes replicas is told from those that were there by chance.
+/// Distinguishing the request that crashes replicas from those that were running by coincidence.
 #include "quarantine/crash_suspects.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,14 +11,14 @@
 
 class CrashSuspectsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CrashSuspectsTest);
-  CPPUNIT_TEST(terms_follow_the_ends);
-  CPPUNIT_TEST(an_end_is_charged_to_the_worst_suspect);
+  CPPUNIT_TEST(restrictions_follow_the_crashes);
+  CPPUNIT_TEST(a_crash_is_charged_to_the_worst_suspect);
   CPPUNIT_TEST(two_that_were_always_together_are_not_held);
-  CPPUNIT_TEST(of_two_at_the_same_ends_the_one_served_before_is_free);
-  CPPUNIT_TEST(what_is_served_is_cleared_also_against_older_news);
+  CPPUNIT_TEST(of_two_at_the_same_crashes_the_one_served_before_is_free);
+  CPPUNIT_TEST(a_served_request_stays_cleared_despite_older_records);
   CPPUNIT_TEST(records_merge_in_any_order);
   CPPUNIT_TEST(memory_is_bounded_and_the_worst_stay);
-  CPPUNIT_TEST(what_nobody_sends_is_forgotten);
+  CPPUNIT_TEST(requests_that_nobody_sends_are_forgotten);
   CPPUNIT_TEST(served_contents_are_bounded);
   CPPUNIT_TEST_SUITE_END();
 
@@ -31,33 +31,35 @@
   static core::MonotonicTime at(int seconds) {
     return core::MonotonicTime(std::chrono::seconds(seconds));
   }
-  static void check(const CrashSuspects& suspects, const std::string& name, Terms expected) {
+  static void check(const CrashSuspects& suspects, const std::string& name,
+                    RunRestriction expected) {
     CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::string(to_string(expected)),
-                                 std::string(to_string(suspects.terms_of(content(name)))));
+                                 std::string(to_string(suspects.restriction_of(content(name)))));
   }
 
-  void terms_follow_the_ends() {
+  void restrictions_follow_the_crashes() {
     CrashSuspects suspects;
-    check(suspects, "culprit", Terms::kFree);
-    const Terms expected[] = {Terms::kSpareLast, Terms::kAlone, Terms::kHeld, Terms::kHeld};
+    check(suspects, "culprit", RunRestriction::kFree);
+    const RunRestriction expected[] = {RunRestriction::kNotOnLastReplica, RunRestriction::kAlone,
+                                       RunRestriction::kHeld, RunRestriction::kHeld};
     for (int end = 0; end < 4; ++end) {
       CPPUNIT_ASSERT(suspects.note_end(content("culprit"), replica(end), at(1)));
       CPPUNIT_ASSERT(!suspects.note_end(content("culprit"), replica(end), at(1)));
       check(suspects, "culprit", expected[end]);
     }
-    check(suspects, "other", Terms::kFree);
+    check(suspects, "other", RunRestriction::kFree);
   }
 
-  void an_end_is_charged_to_the_worst_suspect() {
+  void a_crash_is_charged_to_the_worst_suspect() {
     CrashSuspects suspects;
     suspects.note_end(content("culprit"), replica(1), at(1));
     suspects.note_end(content("first bystander"), replica(1), at(1));
-    check(suspects, "first bystander", Terms::kSpareLast);
+    check(suspects, "first bystander", RunRestriction::kNotOnLastReplica);
     suspects.note_end(content("culprit"), replica(2), at(2));
     suspects.note_end(content("second bystander"), replica(2), at(2));
-    check(suspects, "first bystander", Terms::kFree);
-    check(suspects, "second bystander", Terms::kFree);
-    check(suspects, "culprit", Terms::kAlone);
+    check(suspects, "first bystander", RunRestriction::kFree);
+    check(suspects, "second bystander", RunRestriction::kFree);
+    check(suspects, "culprit", RunRestriction::kAlone);
   }
 
   void two_that_were_always_together_are_not_held() {
@@ -66,46 +68,47 @@
       suspects.note_end(content("culprit"), replica(end), at(1));
       suspects.note_end(content("companion"), replica(end), at(1));
     }
-    check(suspects, "culprit", Terms::kAlone);
-    check(suspects, "companion", Terms::kAlone);
+    check(suspects, "culprit", RunRestriction::kAlone);
+    check(suspects, "companion", RunRestriction::kAlone);
     suspects.clear(content("companion"), at(2));
-    check(suspects, "companion", Terms::kFree);
-    check(suspects, "culprit", Terms::kHeld);
+    check(suspects, "companion", RunRestriction::kFree);
+    check(suspects, "culprit", RunRestriction::kHeld);
   }
 
-  void of_two_at_the_same_ends_the_one_served_before_is_free() {
+  void of_two_at_the_same_crashes_the_one_served_before_is_free() {
     CrashSuspects suspects;
     for (int end = 0; end < 2; ++end) {
       suspects.note_end(content("culprit"), replica(end), at(1));
       suspects.note_end(content("popular"), replica(end), at(1));
     }
-    check(suspects, "popular", Terms::kAlone);
-    CPPUNIT_ASSERT(suspects.terms_of(content("popular"), true) == Terms::kFree);
-    // Nobody else was at a third end: having been served before is no excuse.
+    check(suspects, "popular", RunRestriction::kAlone);
+    CPPUNIT_ASSERT(suspects.restriction_of(content("popular"), true) == RunRestriction::kFree);
+    // No other request was present at the third crash, so that the earlier success no longer
+    // counts.
     suspects.note_end(content("popular"), replica(2), at(2));
-    CPPUNIT_ASSERT(suspects.terms_of(content("popular"), true) == Terms::kHeld);
+    CPPUNIT_ASSERT(suspects.restriction_of(content("popular"), true) == RunRestriction::kHeld);
   }
 
-  void what_is_served_is_cleared_also_against_older_news() {
+  void a_served_request_stays_cleared_despite_older_records() {
     CrashSuspects suspects;
     suspects.note_end(content("popular"), replica(1), at(1));
     const Suspect old = *suspects.find(content("popular"));
     CPPUNIT_ASSERT(suspects.clear(content("popular"), at(2)));
     CPPUNIT_ASSERT(!suspects.clear(content("popular"), at(2)));
     CPPUNIT_ASSERT(!suspects.merge(old, at(3)));
-    check(suspects, "popular", Terms::kFree);
-    // What happens after that counts anew, here and where only the clearing was heard.
+    check(suspects, "popular", RunRestriction::kFree);
+    // Later crashes are counted from zero, here and where only the clearing was received.
     CrashSuspects other;
     other.merge(old, at(3));
     CPPUNIT_ASSERT(other.merge(*suspects.find(content("popular")), at(3)));
-    check(other, "popular", Terms::kFree);
+    check(other, "popular", RunRestriction::kFree);
     other.note_end(content("popular"), replica(2), at(4));
-    check(other, "popular", Terms::kSpareLast);
+    check(other, "popular", RunRestriction::kNotOnLastReplica);
     CPPUNIT_ASSERT(suspects.merge(*other.find(content("popular")), at(5)));
-    check(suspects, "popular", Terms::kSpareLast);
+    check(suspects, "popular", RunRestriction::kNotOnLastReplica);
   }
 
-  /// One random walk over three processes that hear of each other late and out of order.
+  /// Random walk over three processes that receive each other's records late and out of order.
   void records_merge_in_any_order() {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
       core::RandomSource random(seed);
@@ -146,26 +149,26 @@
 
   void memory_is_bounded_and_the_worst_stay() {
     SuspectSettings settings;
-    settings.most_suspects = 10;
+    settings.max_suspects = 10;
     CrashSuspects suspects(settings);
     for (int end = 0; end < 3; ++end) {
       suspects.note_end(content("culprit"), replica(end), at(1));
     }
     for (int index = 0; index < 1000; ++index) {
       suspects.note_end(content("bystander " + std::to_string(index)), replica(100 + index), at(2));
-      CPPUNIT_ASSERT(suspects.all().size() <= settings.most_suspects);
+      CPPUNIT_ASSERT(suspects.all().size() <= settings.max_suspects);
     }
-    check(suspects, "culprit", Terms::kHeld);
+    check(suspects, "culprit", RunRestriction::kHeld);
   }
 
-  void what_nobody_sends_is_forgotten() {
+  void requests_that_nobody_sends_are_forgotten() {
     CrashSuspects suspects;
     for (int end = 0; end < 3; ++end) {
       suspects.note_end(content("culprit"), replica(end), at(0));
     }
     suspects.note_seen(content("culprit"), at(500));
     suspects.forget_old(at(1000));
-    check(suspects, "culprit", Terms::kHeld);
+    check(suspects, "culprit", RunRestriction::kHeld);
     suspects.forget_old(at(1101));
     CPPUNIT_ASSERT(suspects.empty());
   }
--- a/tests/unit/quarantine/request_fingerprint_test.cpp
+++ b/tests/unit/quarantine/request_fingerprint_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which requests count as the same one.
+/// Which requests have the same fingerprint.
 #include "quarantine/request_fingerprint.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/unit/routing/adaptive_throttle_test.cpp
+++ b/tests/unit/routing/adaptive_throttle_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Crowds at a small service that many processes send to: what its callers get, and who is refused.
+/// Load spikes at a small service that many processes send to: how many requests are served, and
+/// which are refused.
 #include "routing/adaptive_throttle.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,10 +21,10 @@
 
 constexpr core::Duration kTarget = milliseconds(150);
 constexpr core::Duration kCallerWaits = milliseconds(800);
-/// For so long no request goes to a replica that refused one while others are left.
+/// How long a replica that refused a request gets none while others are left.
 constexpr core::Duration kRefusalMemory = milliseconds(50);
-/// After which a request is given up in any case.
-constexpr std::uint32_t kMostRefusals = 6;
+/// Number of refusals after which a request is given up in any case.
+constexpr std::uint32_t kMaxRefusals = 6;
 constexpr double kMeanServiceSeconds = 0.027;
 constexpr std::size_t kReplicas = 6;
 constexpr std::size_t kSlots = 6;
@@ -34,27 +35,27 @@
   return core::MonotonicTime(core::from_seconds(1000 + second));
 }
 
-/// Requests of one kind, while they come.
+/// Arrivals of one kind of request within a period.
 struct Arrivals {
-  double a_second = 0;
+  double per_second = 0;
   double from = 0;
   double until = 0;
   std::string tenant = {};
   std::uint32_t rank = 0;
 };
 
-/// What callers of one kind got, of those asked within a span of time.
+/// Results of one kind of request within a period.
 struct Served {
   int asked = 0;
   int in_time = 0;
-  int refused = 0;  ///< at least once
+  int refused = 0;  ///< refused at least once
   int sends = 0;
-  double latest_refusal = 0;  ///< seconds from its arrival until the caller was told
+  double latest_refusal = 0;  ///< seconds from its arrival to its refusal
   double share_in_time() const { return asked == 0 ? 1.0 : static_cast<double>(in_time) / asked; }
 };
 
-/// Plays arrivals at a service of kReplicas, each with kSlots and a queue that refuses when full.
-/// Each process has a throttle of its own; callers come back when told to, while they have time.
+/// Simulates arrivals at a service of kReplicas, each with kSlots and a queue that refuses when
+/// full. Each process has its own throttle; callers retry after the given time while they have time left.
 class LoadPlayer {
  public:
   explicit LoadPlayer(std::size_t processes, std::uint64_t seed) : random_(seed) {
@@ -62,8 +63,9 @@
       processes_.emplace_back(seed * 1000 + index);
     }
   }
-  double slowness = 1;                         ///< all service times are this many times longer
-  std::array<double, kReplicas> refuses = {};  ///< share that each refuses whatever its load
+  double slowness = 1;  ///< factor on all service times
+  /// share of requests that each replica refuses regardless of load
+  std::array<double, kReplicas> refuses = {};
 
   void play(const std::vector<Arrivals>& arrivals, double end) {
     for (std::size_t kind = 0; kind < arrivals.size(); ++kind) {
@@ -76,7 +78,8 @@
       event.act();
     }
   }
-  /// \return what those of \p kind got who came from \p from on and before \p until.
+  /// \return the results of the requests of \p kind that arrived from \p from on and before \p
+  /// until.
   Served served(std::size_t kind, double from, double until) const {
     Served sum;
     for (const Request& request : requests_) {
@@ -87,7 +90,7 @@
       sum.in_time += request.answered > 0 && request.answered - request.arrived <= 0.15 ? 1 : 0;
       sum.refused += request.refused ? 1 : 0;
       sum.sends += request.sends;
-      sum.latest_refusal = std::max(sum.latest_refusal, request.told_after);
+      sum.latest_refusal = std::max(sum.latest_refusal, request.refused_after);
     }
     return sum;
   }
@@ -105,10 +108,10 @@
     double arrived = 0;
     double sent = 0;
     double answered = 0;
-    double told_after = 0;  ///< longest time from coming, or coming back, to a refusal
-    double came = 0;        ///< last
+    double refused_after = 0;  ///< longest time from arrival, or a retry, to a refusal
+    double came = 0;           ///< time of the last arrival or retry
     int sends = 0;
-    std::uint32_t refusals = 0;  ///< by replicas, since it came last
+    std::uint32_t refusals = 0;  ///< refusals by replicas since the last arrival or retry
     bool refused = false;
   };
   struct Process {
@@ -125,7 +128,7 @@
 
   void plan(double time, std::function<void()> act) { events_.push({time, std::move(act)}); }
   void plan_arrival(const std::vector<Arrivals>& all, std::size_t kind, double after) {
-    const double time = after + random_.exponential(1 / all[kind].a_second);
+    const double time = after + random_.exponential(1 / all[kind].per_second);
     if (time >= all[kind].until) {
       return;
     }
@@ -136,7 +139,7 @@
       request.process = random_.uniform(0, processes_.size() - 1);
       request.arrived = now_;
       requests_.push_back(request);
-      ask(requests_.size() - 1);
+      decide(requests_.size() - 1);
       plan_arrival(all, kind, now_);
     });
   }
@@ -145,12 +148,12 @@
     return {"look", core::TenantName(request.from.tenant), request.from.rank,
             core::from_seconds(left)};
   }
-  void ask(std::size_t index) {
+  void decide(std::size_t index) {
     Request& request = requests_[index];
     request.came = now_;
     request.refusals = 0;
     const ThrottleDecision decision =
-        processes_[request.process].throttle.ask(asked_by(request), at(now_));
+        processes_[request.process].throttle.decide(asked_by(request), at(now_));
     if (decision.verdict != ThrottleVerdict::kAdmit) {
       return tell(index, decision.retry_after);
     }
@@ -160,10 +163,10 @@
   void tell(std::size_t index, core::Duration retry_after) {
     Request& request = requests_[index];
     request.refused = true;
-    request.told_after = std::max(request.told_after, now_ - request.came);
-    const double back = now_ + core::to_seconds(retry_after);
-    if (back < request.arrived + core::to_seconds(kCallerWaits)) {
-      plan(back, [this, index] { ask(index); });
+    request.refused_after = std::max(request.refused_after, now_ - request.came);
+    const double retry = now_ + core::to_seconds(retry_after);
+    if (retry < request.arrived + core::to_seconds(kCallerWaits)) {
+      plan(retry, [this, index] { decide(index); });
     }
   }
   std::size_t choose(const Process& process, std::size_t excluded) {
@@ -201,7 +204,7 @@
   }
   void run(std::size_t index, std::size_t place) {
     ++replicas_[place].running;
-    // Nine in ten are log-normal, one in ten takes some three times as long.
+    // Nine in ten are log-normal, one in ten takes about three times as long.
     const double usual = random_.log_normal(std::log(0.0210), 0.3);
     const double took = (random_.chance(0.1) ? 3 * usual : usual) * slowness;
     plan(now_ + took, [this, index, place] { end(index, place); });
@@ -231,7 +234,7 @@
     const ReplicaRefusal refusal = {core::ReplicaId(std::to_string(place)), false,
                                     ++request.refusals, at(request.came)};
     const bool may_go_on = process.throttle.note_refusal(asked_by(request), refusal, at(now_));
-    if (may_go_on && request.refusals <= kMostRefusals) {
+    if (may_go_on && request.refusals <= kMaxRefusals) {
       return send(index, place);
     }
     process.throttle.note_end(asked_by(request), std::nullopt, kTarget, at(now_));
@@ -246,18 +249,18 @@
   std::array<Replica, kReplicas> replicas_;
 };
 
-constexpr double kCrowdSeconds = 10;
+constexpr double kSpikeSeconds = 10;
 
 /// Load of \p times the capacity after three seconds at half of it.
-std::vector<Arrivals> crowd_of(double times) {
-  return {{0.5 * kCapacity, 0, 3}, {times * kCapacity, 3, 3 + kCrowdSeconds}};
+std::vector<Arrivals> load_spike_of(double times) {
+  return {{0.5 * kCapacity, 0, 3}, {times * kCapacity, 3, 3 + kSpikeSeconds}};
 }
 
-std::string told(double times, std::size_t processes, const Served& served) {
+std::string describe(double times, std::size_t processes, const Served& served) {
   return std::to_string(times) + " times capacity, " + std::to_string(processes) +
          " processes: asked " + std::to_string(served.asked) + ", in time " +
          std::to_string(served.in_time) + ", refused " + std::to_string(served.refused) +
-         ", sends " + std::to_string(served.sends) + ", told after " +
+         ", sends " + std::to_string(served.sends) + ", refused after " +
          std::to_string(served.latest_refusal);
 }
 
@@ -265,32 +268,32 @@
 
 class AdaptiveThrottleTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AdaptiveThrottleTest);
-  CPPUNIT_TEST(a_crowd_is_served_up_to_capacity_and_no_more_is_sent);
+  CPPUNIT_TEST(a_load_spike_is_served_up_to_capacity_without_excess_sends);
   CPPUNIT_TEST(below_capacity_callers_are_served_in_time);
-  CPPUNIT_TEST(after_the_crowd_nobody_is_refused);
+  CPPUNIT_TEST(after_a_load_spike_nothing_is_refused);
   CPPUNIT_TEST(a_slow_service_that_refuses_nothing_is_not_throttled);
   CPPUNIT_TEST(a_slow_service_with_one_replica_that_refuses_is_not_throttled);
   CPPUNIT_TEST(a_replica_that_refuses_beside_idle_ones_leads_to_no_refusal);
   CPPUNIT_TEST(a_greedy_tenant_takes_nothing_from_modest_ones);
   CPPUNIT_TEST(a_higher_rank_is_not_refused_before_a_lower_one);
   CPPUNIT_TEST(a_lower_rank_does_not_starve);
-  CPPUNIT_TEST(one_that_comes_back_takes_nothing_from_first_comers);
-  CPPUNIT_TEST(a_refused_caller_is_told_when_it_would_be_taken);
-  CPPUNIT_TEST(tenants_beyond_those_told_apart_are_refused_too);
+  CPPUNIT_TEST(retries_take_nothing_from_new_requests);
+  CPPUNIT_TEST(retry_after_is_when_a_request_would_be_admitted);
+  CPPUNIT_TEST(untracked_tenants_are_refused_too);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Callers lose nothing by others' asking: nine tenths of capacity are served in time however
-  /// many ask, and replicas get at most a tenth more than callers ask.
-  void a_crowd_is_served_up_to_capacity_and_no_more_is_sent() {
+  /// Overload must not reduce throughput: at least nine tenths of the capacity are served in time
+  /// for any number of requests, and replicas receive at most a tenth more sends than requests.
+  void a_load_spike_is_served_up_to_capacity_without_excess_sends() {
     std::uint64_t seed = 20;
     for (const std::size_t processes : {12, 82, 400}) {
       for (const double times : {1.0, 1.5, 3.0, 10.0, 1.0, 1.5, 3.0, 10.0}) {
         LoadPlayer player(processes, ++seed);
-        const std::vector<Arrivals> arrivals = crowd_of(times);
+        const std::vector<Arrivals> arrivals = load_spike_of(times);
         player.play(arrivals, 20);
-        const Served served = player.served(1, 3, 3 + kCrowdSeconds);
-        const std::string what = told(times, processes, served);
-        CPPUNIT_ASSERT_MESSAGE(what, served.in_time >= 0.9 * kCapacity * kCrowdSeconds);
+        const Served served = player.served(1, 3, 3 + kSpikeSeconds);
+        const std::string what = describe(times, processes, served);
+        CPPUNIT_ASSERT_MESSAGE(what, served.in_time >= 0.9 * kCapacity * kSpikeSeconds);
         CPPUNIT_ASSERT_MESSAGE(what, served.sends <= 1.1 * served.asked);
         CPPUNIT_ASSERT_MESSAGE(what, served.latest_refusal <= core::to_seconds(kTarget) / 8);
       }
@@ -300,21 +303,21 @@
   void below_capacity_callers_are_served_in_time() {
     for (const std::size_t processes : {12, 82, 400}) {
       LoadPlayer player(processes, 8);
-      const std::vector<Arrivals> arrivals = crowd_of(0.9);
+      const std::vector<Arrivals> arrivals = load_spike_of(0.9);
       player.play(arrivals, 20);
-      const Served served = player.served(1, 3, 3 + kCrowdSeconds);
-      CPPUNIT_ASSERT_MESSAGE(told(0.9, processes, served), served.share_in_time() >= 0.95);
+      const Served served = player.served(1, 3, 3 + kSpikeSeconds);
+      CPPUNIT_ASSERT_MESSAGE(describe(0.9, processes, served), served.share_in_time() >= 0.95);
     }
   }
 
-  void after_the_crowd_nobody_is_refused() {
+  void after_a_load_spike_nothing_is_refused() {
     LoadPlayer player(82, 9);
     const std::vector<Arrivals> arrivals = {{3 * kCapacity, 0, 5}, {0.5 * kCapacity, 5, 15}};
     player.play(arrivals, 20);
     const Served later = player.served(1, 7, 15);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(told(0.5, 82, later), 0, later.refused);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(0.5, 82, later), 0, later.refused);
     const Served soon = player.served(1, 6, 7);
-    CPPUNIT_ASSERT_MESSAGE(told(0.5, 82, soon), soon.share_in_time() >= 0.95);
+    CPPUNIT_ASSERT_MESSAGE(describe(0.5, 82, soon), soon.share_in_time() >= 0.95);
   }
 
   void a_slow_service_that_refuses_nothing_is_not_throttled() {
@@ -323,7 +326,7 @@
     const std::vector<Arrivals> arrivals = {{0.1 * kCapacity, 0, 10}};
     player.play(arrivals, 15);
     const Served served = player.served(0, 0, 10);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(told(0.1, 82, served), 0, served.refused);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(0.1, 82, served), 0, served.refused);
   }
 
   void a_slow_service_with_one_replica_that_refuses_is_not_throttled() {
@@ -333,7 +336,7 @@
     const std::vector<Arrivals> arrivals = {{0.1 * kCapacity, 0, 10}};
     player.play(arrivals, 15);
     const Served served = player.served(0, 0, 10);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(told(0.1, 82, served), 0, served.refused);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(0.1, 82, served), 0, served.refused);
   }
 
   void a_replica_that_refuses_beside_idle_ones_leads_to_no_refusal() {
@@ -343,7 +346,7 @@
       const std::vector<Arrivals> arrivals = {{0.4 * kCapacity, 0, 10}};
       player.play(arrivals, 15);
       const Served served = player.served(0, 0, 10);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(told(0.4, processes, served), 0, served.refused);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(0.4, processes, served), 0, served.refused);
     }
   }
 
@@ -356,11 +359,11 @@
     player.play(arrivals, 15);
     for (std::size_t modest = 1; modest < arrivals.size(); ++modest) {
       const Served served = player.served(modest, 2, 10);
-      CPPUNIT_ASSERT_MESSAGE(told(0.15, 12, served), served.share_in_time() >= 0.9);
+      CPPUNIT_ASSERT_MESSAGE(describe(0.15, 12, served), served.share_in_time() >= 0.9);
     }
-    // What they leave is the greedy one's.
+    // The rest goes to the greedy tenant.
     const Served greedy = player.served(0, 2, 10);
-    CPPUNIT_ASSERT_MESSAGE(told(3, 12, greedy), greedy.in_time >= 0.9 * 0.55 * kCapacity * 8);
+    CPPUNIT_ASSERT_MESSAGE(describe(3, 12, greedy), greedy.in_time >= 0.9 * 0.55 * kCapacity * 8);
   }
 
   void a_higher_rank_is_not_refused_before_a_lower_one() {
@@ -370,8 +373,8 @@
     player.play(arrivals, 15);
     const Served high = player.served(0, 2, 10);
     const Served low = player.served(1, 2, 10);
-    CPPUNIT_ASSERT_MESSAGE(told(0.6, 12, high), high.share_in_time() >= 0.95);
-    CPPUNIT_ASSERT_MESSAGE(told(2, 12, low), low.in_time >= 0.9 * 0.3 * kCapacity * 8);
+    CPPUNIT_ASSERT_MESSAGE(describe(0.6, 12, high), high.share_in_time() >= 0.95);
+    CPPUNIT_ASSERT_MESSAGE(describe(2, 12, low), low.in_time >= 0.9 * 0.3 * kCapacity * 8);
   }
 
   void a_lower_rank_does_not_starve() {
@@ -380,7 +383,7 @@
                                             {kCapacity, 0, 10, "idle", 1}};
     player.play(arrivals, 15);
     const Served low = player.served(1, 2, 10);
-    CPPUNIT_ASSERT_MESSAGE(told(1, 12, low), low.in_time >= 0.02 * kCapacity * 8);
+    CPPUNIT_ASSERT_MESSAGE(describe(1, 12, low), low.in_time >= 0.02 * kCapacity * 8);
   }
 
   static void arm(AdaptiveThrottle& throttle) {
@@ -389,14 +392,14 @@
     throttle.note_refusal(request, {core::ReplicaId("b"), false, 2, at(0)}, at(0));
   }
 
-  /// \return a throttle under ten times what its service answers, as first-comers see it.
-  static AdaptiveThrottle pressed_throttle() {
+  /// \return a throttle for a service overloaded tenfold by new requests.
+  static AdaptiveThrottle overloaded_throttle() {
     AdaptiveThrottle throttle({}, 15);
     arm(throttle);
     for (int request = 0; request < 300; ++request) {
       const core::MonotonicTime now = at(request * 0.001);
       const ThrottleRequest asked = {"look", core::TenantName("one"), 0, kCallerWaits};
-      const bool is_admitted = throttle.ask(asked, now).verdict == ThrottleVerdict::kAdmit;
+      const bool is_admitted = throttle.decide(asked, now).verdict == ThrottleVerdict::kAdmit;
       if (is_admitted) {
         const bool is_answered = request % 10 == 0;
         throttle.note_end(asked, is_answered ? std::optional(milliseconds(20)) : std::nullopt,
@@ -406,38 +409,38 @@
     return throttle;
   }
 
-  void one_that_comes_back_takes_nothing_from_first_comers() {
-    AdaptiveThrottle throttle = pressed_throttle();
-    const ThrottleRequest back = {"look", core::TenantName("one"), 0, milliseconds(600)};
-    CPPUNIT_ASSERT(throttle.ask(back, at(0.3)).verdict == ThrottleVerdict::kReturned);
-    // Another tenant's callers may have less time from the start.
+  void retries_take_nothing_from_new_requests() {
+    AdaptiveThrottle throttle = overloaded_throttle();
+    const ThrottleRequest retry = {"look", core::TenantName("one"), 0, milliseconds(600)};
+    CPPUNIT_ASSERT(throttle.decide(retry, at(0.3)).verdict == ThrottleVerdict::kRetried);
+    // Callers of another tenant may have less time from the start.
     const ThrottleRequest other = {"look", core::TenantName("two"), 0, milliseconds(600)};
-    CPPUNIT_ASSERT(throttle.ask(other, at(0.3)).verdict != ThrottleVerdict::kReturned);
-    // Once no first-comer is refused any more, it is served.
-    CPPUNIT_ASSERT(throttle.ask(back, at(3)).verdict == ThrottleVerdict::kAdmit);
+    CPPUNIT_ASSERT(throttle.decide(other, at(0.3)).verdict != ThrottleVerdict::kRetried);
+    // Served once new requests are no longer refused.
+    CPPUNIT_ASSERT(throttle.decide(retry, at(3)).verdict == ThrottleVerdict::kAdmit);
   }
 
-  void a_refused_caller_is_told_when_it_would_be_taken() {
-    AdaptiveThrottle throttle = pressed_throttle();
+  void retry_after_is_when_a_request_would_be_admitted() {
+    AdaptiveThrottle throttle = overloaded_throttle();
     for (int caller = 0; caller < 100; ++caller) {
-      const ThrottleRequest back = {"look", core::TenantName("one"), 0, milliseconds(600)};
-      const ThrottleDecision decision = throttle.ask(back, at(0.3));
-      CPPUNIT_ASSERT(decision.verdict == ThrottleVerdict::kReturned);
+      const ThrottleRequest retry = {"look", core::TenantName("one"), 0, milliseconds(600)};
+      const ThrottleDecision decision = throttle.decide(retry, at(0.3));
+      CPPUNIT_ASSERT(decision.verdict == ThrottleVerdict::kRetried);
       CPPUNIT_ASSERT(decision.retry_after >= milliseconds(1900));
-      CPPUNIT_ASSERT(throttle.ask(back, at(0.3) + decision.retry_after).verdict ==
+      CPPUNIT_ASSERT(throttle.decide(retry, at(0.3) + decision.retry_after).verdict ==
                      ThrottleVerdict::kAdmit);
-      throttle = pressed_throttle();
+      throttle = overloaded_throttle();
     }
   }
 
-  void tenants_beyond_those_told_apart_are_refused_too() {
+  void untracked_tenants_are_refused_too() {
     AdaptiveThrottle throttle({}, 16);
     arm(throttle);
     int refused = 0;
     for (int request = 0; request < 2000; ++request) {
       const core::TenantName tenant("tenant-" + std::to_string(request % 200));
       const ThrottleDecision decision =
-          throttle.ask({"look", tenant, 0, kCallerWaits}, at(request * 0.0005));
+          throttle.decide({"look", tenant, 0, kCallerWaits}, at(request * 0.0005));
       if (decision.verdict == ThrottleVerdict::kAdmit) {
         throttle.note_end({"look", tenant, 0, kCallerWaits}, std::nullopt, kTarget,
                           at(request * 0.0005));
--- a/tests/unit/routing/limits_test.cpp
+++ b/tests/unit/routing/limits_test.cpp
@@ -30,7 +30,8 @@
       std::uint32_t expected;
     };
     const std::vector<Case> cases = {
-        {"grows by about one in a limit's worth", LoadSignal::kHealthy, 64, milliseconds(1), 65},
+        {"grows by about one per limit's worth of requests", LoadSignal::kHealthy, 64,
+         milliseconds(1), 65},
         {"does not grow unused", LoadSignal::kHealthy, 10, milliseconds(1), 64},
         {"signs close together count once", LoadSignal::kOverloaded, 64, milliseconds(1), 51},
         {"shrinks to the smallest", LoadSignal::kOverloaded, 64, seconds(1), 4},
--- a/tests/unit/routing/replica_choice_test.cpp
+++ b/tests/unit/routing/replica_choice_test.cpp
@@ -25,7 +25,7 @@
   return options;
 }
 
-/// How often each replica is chosen when nothing stays in flight.
+/// \return how often each replica is chosen if nothing stays in flight.
 std::map<std::string, int> draw(routing::ReplicaChooser& chooser, std::vector<Candidate> candidates,
                                 const ChoiceRequest& request, core::MonotonicTime now = kStart) {
   std::map<std::string, int> counts;
@@ -46,7 +46,7 @@
 class ReplicaChoiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaChoiceTest);
   CPPUNIT_TEST(states_decide_who_may_get_work);
-  CPPUNIT_TEST(full_replicas_are_told_from_missing_ones);
+  CPPUNIT_TEST(full_replicas_differ_from_missing_ones);
   CPPUNIT_TEST(own_suspicion_ends_with_time_or_incarnation);
   CPPUNIT_TEST(digests_steer_away_from_loaded_replicas);
   CPPUNIT_TEST(old_digests_fade_towards_the_mean);
@@ -99,7 +99,7 @@
     }
   }
 
-  void full_replicas_are_told_from_missing_ones() {
+  void full_replicas_differ_from_missing_ones() {
     routing::AdaptiveLimitOptions limit;
     limit.initial = 2;
     routing::ReplicaLoads loads(limit);
@@ -157,7 +157,7 @@
     routing::CostChooser chooser(options, 1);
     const auto candidates = loads.candidates(replicas);
     CPPUNIT_ASSERT_EQUAL(std::string("r1"), only_one(draw(chooser, candidates, {})));
-    // After ten half-lives only our own three requests tell the two apart.
+    // After ten half-lives only the three requests of this process distinguish the two.
     const auto later = kStart + 10 * options.digest_half_life;
     CPPUNIT_ASSERT_EQUAL(std::string("r0"), only_one(draw(chooser, candidates, {}, later)));
   }
@@ -166,7 +166,7 @@
     routing::ReplicaLoads loads;
     start(loads, "r0", 4);
     const auto taken_at = kStart + std::chrono::seconds(1);
-    // r0 runs our four and no others; r1 runs five of others.
+    // r0 runs four requests, all of this process; r1 runs five of other processes.
     const std::vector<Replica> replicas = {with_digest(make_replica("r0"), 4, taken_at),
                                            with_digest(make_replica("r1"), 5, taken_at)};
     routing::CostChooser chooser(options_in_zone_a(), 1);
@@ -203,7 +203,7 @@
   }
 
   void cached_prefix_wins_until_the_load_bound() {
-    // Long enough that its prefill outweighs the load at which the bound takes hold.
+    // Long enough that its prefill cost exceeds the load at which the bound applies.
     const std::string prompt(256 * routing::kPrefixBlockBytes, 'p');
     const auto prefixes = routing::prefix_hashes(prompt);
     ChoiceRequest request;
@@ -220,7 +220,7 @@
                          only_one(draw(chooser, loads.candidates(replicas), request)));
     replicas[5].digest->running = 14;
     CPPUNIT_ASSERT(!draw(chooser, loads.candidates(replicas), request).contains("r5"));
-    // What we sent ourselves counts before any digest tells of it.
+    // Prefixes sent by this process count before a digest reports them.
     loads.of(core::ReplicaId("r2")).recent_prefixes().add(prefixes, kStart);
     CPPUNIT_ASSERT_EQUAL(std::string("r2"),
                          only_one(draw(chooser, loads.candidates(replicas), request)));
@@ -269,10 +269,10 @@
     loads.candidates(before);
     start(loads, "r1", 1);
     loads.candidates(after);
-    loads.forget_all_but(after);
+    loads.retain_only(after);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), loads.size());  // r1 still has one in flight
     loads.of(core::ReplicaId("r1")).finished(routing::LoadSignal::kNeutral, kStart);
-    loads.forget_all_but(after);
+    loads.retain_only(after);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), loads.size());
   }
 
--- a/tests/unit/routing/routing_fixture.hpp
+++ b/tests/unit/routing/routing_fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Builders of replicas for the tables of the routing tests.
+/// Builders of replicas and tables for the routing tests.
 #pragma once
 
 #include <algorithm>
--- a/tests/unit/routing/second_call_policy_test.cpp
+++ b/tests/unit/routing/second_call_policy_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// When a request gets a second call, when it does not, and what is learnt of a replica that was
-/// overtaken: under silent replicas, slow ones, full ones.
+/// When a request gets a second call, and when a replica whose call was overtaken counts as silent:
+/// with silent, slow and full replicas.
 #include "routing/second_call_policy.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,8 +19,8 @@
 class SecondCallPolicyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SecondCallPolicyTest);
   CPPUNIT_TEST(a_call_that_takes_unusually_long_gets_another_one);
-  CPPUNIT_TEST(what_is_usual_stays_within_the_target);
-  CPPUNIT_TEST(silence_tells_when_it_is_long_or_comes_twice);
+  CPPUNIT_TEST(the_usual_time_stays_within_the_target);
+  CPPUNIT_TEST(long_or_repeated_silence_is_indicated);
   CPPUNIT_TEST(a_service_of_which_most_replicas_are_slow_is_slow);
   CPPUNIT_TEST(a_refusal_counts_for_a_second);
   CPPUNIT_TEST(many_first_calls_get_no_more_than_the_share);
@@ -29,25 +29,25 @@
   void a_call_that_takes_unusually_long_gets_another_one() {
     struct Case {
       std::string name;
-      CallsOut calls;
-      Elsewhere elsewhere;
+      OutstandingCalls calls;
+      OtherReplicas elsewhere;
       NextCall expected;
     };
-    const Elsewhere room{true, true, true};
-    const Elsewhere full{true, false, true};
+    const OtherReplicas room{true, true, true};
+    const OtherReplicas full{true, false, true};
     const auto calls = [](int taken_ms, bool is_silent, std::size_t out, std::size_t most) {
-      return CallsOut{milliseconds(taken_ms), milliseconds(60), is_silent, out, most};
+      return OutstandingCalls{milliseconds(taken_ms), milliseconds(60), is_silent, out, most};
     };
     const Case cases[] = {
         {"not yet", calls(59, true, 1, 3), room, NextCall::kWait},
-        {"unusually long", calls(60, true, 1, 3), room, NextCall::kBeside},
-        {"a slow replica", calls(60, false, 1, 3), room, NextCall::kBeside},
-        {"the third", calls(60, true, 2, 3), room, NextCall::kBeside},
-        {"as many as it may", calls(500, true, 3, 3), room, NextCall::kWait},
+        {"unusually long", calls(60, true, 1, 3), room, NextCall::kSendSecond},
+        {"a slow replica", calls(60, false, 1, 3), room, NextCall::kSendSecond},
+        {"the third", calls(60, true, 2, 3), room, NextCall::kSendSecond},
+        {"at the maximum", calls(500, true, 3, 3), room, NextCall::kWait},
         {"one attempt only", calls(500, true, 1, 1), room, NextCall::kWait},
         {"none left", calls(500, true, 1, 0), room, NextCall::kWait},
-        {"nothing is out", calls(500, true, 0, 3), room, NextCall::kWait},
-        {"no sound replica", calls(500, true, 1, 3), {false, true, true}, NextCall::kWait},
+        {"no outstanding call", calls(500, true, 0, 3), room, NextCall::kWait},
+        {"no healthy replica", calls(500, true, 1, 3), {false, true, true}, NextCall::kWait},
         {"others are full", calls(60, true, 1, 3), full, NextCall::kReplace},
         {"others are full, its own works", calls(60, false, 1, 3), full, NextCall::kWait},
         {"others are silent too", calls(60, true, 1, 3), {true, false, false}, NextCall::kWait},
@@ -57,7 +57,7 @@
     }
   }
 
-  void what_is_usual_stays_within_the_target() {
+  void the_usual_time_stays_within_the_target() {
     CallTimeSettings settings;
     settings.shortest_usual = milliseconds(30);
     settings.usual_share_of_target = 0.4;
@@ -84,18 +84,18 @@
     }
   }
 
-  void silence_tells_when_it_is_long_or_comes_twice() {
+  void long_or_repeated_silence_is_indicated() {
     const SilenceSettings settings;
     const auto silent = [](int taken_ms, std::size_t in_a_row) {
       return SilentCall{milliseconds(taken_ms), milliseconds(60), milliseconds(150), in_a_row};
     };
-    CPPUNIT_ASSERT(!is_telling(silent(90, 1), settings));
-    CPPUNIT_ASSERT(is_telling(silent(90, 2), settings));
-    CPPUNIT_ASSERT(is_telling(silent(120, 1), settings));
+    CPPUNIT_ASSERT(!indicates_silence(silent(90, 1), settings));
+    CPPUNIT_ASSERT(indicates_silence(silent(90, 2), settings));
+    CPPUNIT_ASSERT(indicates_silence(silent(120, 1), settings));
     SilentCall late{milliseconds(150), milliseconds(140), milliseconds(150), 1};
-    CPPUNIT_ASSERT(is_telling(late, settings));
+    CPPUNIT_ASSERT(indicates_silence(late, settings));
     late.target = core::Duration(0);
-    CPPUNIT_ASSERT(!is_telling(late, settings));
+    CPPUNIT_ASSERT(!indicates_silence(late, settings));
   }
 
   void a_service_of_which_most_replicas_are_slow_is_slow() {
@@ -103,17 +103,17 @@
     core::MonotonicTime now{seconds(100)};
     CPPUNIT_ASSERT(!pressure.is_slow(now));
     pressure.note_answer(core::ReplicaId("a"), true, now);
-    CPPUNIT_ASSERT(!pressure.is_slow(now));  // one replica alone
+    CPPUNIT_ASSERT(!pressure.is_slow(now));  // a single replica
     pressure.note_answer(core::ReplicaId("b"), false, now);
     CPPUNIT_ASSERT(!pressure.is_slow(now));
     pressure.note_answer(core::ReplicaId("c"), true, now);
     CPPUNIT_ASSERT(pressure.is_slow(now));
-    // Its newest answer counts for each.
+    // Only the latest answer of each replica counts.
     pressure.note_answer(core::ReplicaId("c"), false, now);
     CPPUNIT_ASSERT(!pressure.is_slow(now));
     pressure.note_answer(core::ReplicaId("c"), true, now);
     now += seconds(2);
-    CPPUNIT_ASSERT(!pressure.is_slow(now));  // long ago
+    CPPUNIT_ASSERT(!pressure.is_slow(now));  // the answers are too old
   }
 
   void a_refusal_counts_for_a_second() {
