--- a/src/node/health_exchange.cpp
+++ b/src/node/health_exchange.cpp
@@ -60,8 +60,8 @@
         avoided(
             metrics.gauge("stoneport_health_replicas_avoided",
                           "Replicas that get no work because several processes reported them")) {
-    for (std::size_t outcome = 0; outcome < ingress::kHeardOutcomes; ++outcome) {
-      const std::string_view name = to_string(static_cast<ingress::HeardOutcome>(outcome));
+    for (std::size_t outcome = 0; outcome < ingress::kRemoteFindingOutcomes; ++outcome) {
+      const std::string_view name = to_string(static_cast<ingress::RemoteFindingOutcome>(outcome));
       outcomes[outcome] = &received(metrics, std::string(name));
     }
   }
@@ -76,7 +76,7 @@
   prometheus::Counter& rate_limited;
   prometheus::Counter& unknown_reporter;
   prometheus::Gauge& avoided;
-  std::array<prometheus::Counter*, ingress::kHeardOutcomes> outcomes{};
+  std::array<prometheus::Counter*, ingress::kRemoteFindingOutcomes> outcomes{};
 };
 
 HealthExchange::HealthExchange(asio::any_io_executor executor,
@@ -144,7 +144,7 @@
   std::vector<wire::HealthReport> reports;
   std::size_t size = 0;
   for (const auto& [replica, finding] : pending_) {
-    if (!health_.is_worth_telling(finding, now)) {
+    if (!health_.should_report(finding, now)) {
       meters_->suppressed.Increment();
       continue;
     }
@@ -196,7 +196,8 @@
   const ingress::HealthReporter reporter{message.sender, sender->second.zone};
   const core::MonotonicTime now = time_.now();
   for (const wire::HealthFinding& notice : report->findings) {
-    const ingress::HeardOutcome outcome = health_.hear(reporter, finding_of(notice, now), now);
+    const ingress::RemoteFindingOutcome outcome =
+        health_.hear(reporter, finding_of(notice, now), now);
     meters_->outcomes.at(static_cast<std::size_t>(outcome))->Increment();
   }
 }
--- a/src/node/load_metrics.hpp
+++ b/src/node/load_metrics.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "core/metrics.hpp"
-#include "ingress/load_ledger.hpp"
+#include "ingress/load_statistics.hpp"
 
 namespace stoneport::node {
 
@@ -17,8 +17,8 @@
   explicit LoadMetrics(core::Metrics& metrics) : metrics_(metrics) {}
 
   /// Adds what the ledger has counted since the last call. A counter is created by its first event;
-  /// services beyond LoadLedger::kMostServices get no metrics.
-  void publish(const ingress::LoadLedger& ledger, core::MonotonicTime now);
+  /// services beyond LoadStatistics::kMaxServices get no metrics.
+  void publish(const ingress::LoadStatistics& ledger, core::MonotonicTime now);
 
  private:
   struct Series {
