--- a/src/jobs/checkpoint_batch.cpp
+++ b/src/jobs/checkpoint_batch.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::uint64_t CheckpointBatch::mark_safe() const {
+std::uint64_t CheckpointBatch::mark_durable() const {
   std::uint64_t events = 0;
   for (const CheckpointedText& entry : texts) {
     ItemText& text = entry.job->items[entry.item].text;
--- a/src/jobs/checkpoint_batch.hpp
+++ b/src/jobs/checkpoint_batch.hpp
@@ -22,7 +22,7 @@
   std::vector<CheckpointedText> texts;
 
   /// The store holds them: \return how many events became safe.
-  std::uint64_t mark_safe() const;
+  std::uint64_t mark_durable() const;
 };
 
 /// \param most_writes and \param most_bytes room that the transaction has
--- a/src/jobs/coordinator.cpp
+++ b/src/jobs/coordinator.cpp
@@ -1,6 +1,6 @@
 #include "jobs/coordinator.hpp"
 
-#include "jobs/tenure.hpp"
+#include "jobs/term_session.hpp"
 #include "runtime/tasks.hpp"
 
 namespace stoneport::jobs {
@@ -10,8 +10,8 @@
     : inputs_(std::move(inputs)),
       settings_(std::move(settings)),
       keeper_(inputs_.executor, inputs_.store, settings_.term,
-              {[this] { return may_bid(); }, inputs_.sign_of, [this](Term term) { begin(term); },
-               [this] { finish(); }},
+              {[this] { return may_bid(); }, inputs_.holder_status,
+               [this](Term term) { begin(term); }, [this] { finish(); }},
               seed, inputs_.time, inputs_.metrics) {}
 
 Coordinator::~Coordinator() = default;
@@ -22,7 +22,7 @@
 
 void Coordinator::begin(Term term) {
   began_at_ = inputs_.time.now();
-  tenure_ = std::make_shared<Tenure>(inputs_, settings_, keeper_, term);
+  tenure_ = std::make_shared<TermSession>(inputs_, settings_, keeper_, term);
   tenure_->start();
 }
 
@@ -36,39 +36,39 @@
 void Coordinator::on_inputs_changed() {
   if (tenure_) {
     tenure_->dispatch_soon();
-    leave_if_elsewhere();
+    leave_if_preferred_elsewhere();
   }
 }
 
-bool Coordinator::belongs_elsewhere() const {
-  return inputs_.belongs_elsewhere && inputs_.belongs_elsewhere();
+bool Coordinator::is_preferred_elsewhere() const {
+  return inputs_.is_preferred_elsewhere && inputs_.is_preferred_elsewhere();
 }
 
 bool Coordinator::may_bid() const {
   const core::Duration silence = inputs_.time.now() - keeper_.changed_at();
-  const bool leaves_it = belongs_elsewhere() && silence < settings_.patience_with_others;
+  const bool leaves_it = is_preferred_elsewhere() && silence < settings_.foreign_term_silence;
   return !leaves_it && inputs_.eligible();
 }
 
-void Coordinator::leave_if_elsewhere() {
-  const bool has_stayed = inputs_.time.now() - began_at_ >= settings_.shortest_stay;
-  if (!leaving_ && has_stayed && inputs_.eligible() && belongs_elsewhere()) {
+void Coordinator::leave_if_preferred_elsewhere() {
+  const bool has_stayed = inputs_.time.now() - began_at_ >= settings_.min_term_duration;
+  if (!leaving_ && has_stayed && inputs_.eligible() && is_preferred_elsewhere()) {
     leaving_ = true;
     runtime::start(inputs_.executor, "coordinator leaves its term", leave());
   }
 }
 
 asio::awaitable<void> Coordinator::leave() {
-  const std::shared_ptr<Tenure> tenure = tenure_;
+  const std::shared_ptr<TermSession> tenure = tenure_;
   if (tenure) {
     co_await tenure->hand_over();
   }
-  co_await keeper_.hand_back();
+  co_await keeper_.step_down();
   leaving_ = false;
 }
 
 asio::awaitable<void> Coordinator::stop() {
-  const std::shared_ptr<Tenure> tenure = tenure_;
+  const std::shared_ptr<TermSession> tenure = tenure_;
   if (tenure) {
     co_await tenure->hand_over();
   }
--- a/src/jobs/coordinator.hpp
+++ b/src/jobs/coordinator.hpp
@@ -37,10 +37,10 @@
   /// A process in a region that jobs do not allow bids all the same when the term has been silent
   /// for this long: those in an allowed region may be cut off from the store. Several take-overs
   /// (at most 1.9 s with all delays) fit in, so that one of them is first.
-  core::Duration patience_with_others = std::chrono::seconds(4);
+  core::Duration foreign_term_silence = std::chrono::seconds(4);
   /// It keeps a term that it has begun for at least this long, so that a term that nobody else
   /// can take does not change hands all the time.
-  core::Duration shortest_stay = std::chrono::seconds(5);
+  core::Duration min_term_duration = std::chrono::seconds(5);
 };
 
 /// What the coordinator works with; all outlive it.
@@ -57,17 +57,17 @@
   std::function<std::map<core::ModelName, core::WeightVersion>()> named_versions;
   std::function<bool()> eligible;
   /// What the members say of a term's holder.
-  std::function<HolderSign(const std::string&)> sign_of;
+  std::function<HolderStatus(const std::string&)> holder_status;
   const core::TimeSource& time;
   core::Metrics& metrics;
   /// Whether the jobs' regions call for a coordinator elsewhere, and one there is alive; never
   /// when this is empty.
-  std::function<bool()> belongs_elsewhere = {};
+  std::function<bool()> is_preferred_elsewhere = {};
   /// What else the holder of the term does; may be empty.
   TermDutyFactory term_duties = {};
 };
 
-class Tenure;
+class TermSession;
 
 class Coordinator {
  public:
@@ -87,17 +87,17 @@
  private:
   void begin(Term term);
   void finish();
-  bool belongs_elsewhere() const;
+  bool is_preferred_elsewhere() const;
   /// \return whether this process may bid for the term now.
   bool may_bid() const;
-  void leave_if_elsewhere();
+  void leave_if_preferred_elsewhere();
   /// Saves the texts in the making and leaves the term to a process in a better region.
   boost::asio::awaitable<void> leave();
 
   CoordinatorInputs inputs_;
   CoordinatorSettings settings_;
   TermKeeper keeper_;
-  std::shared_ptr<Tenure> tenure_;
+  std::shared_ptr<TermSession> tenure_;
   core::MonotonicTime began_at_{};  ///< when the term that is held began
   bool leaving_ = false;
 };
--- a/src/jobs/duty_fence.cpp
+++ b/src/jobs/duty_fence.cpp
@@ -56,7 +56,7 @@
 bool DutyFence::may_call(const std::string& subject) const {
   const auto announced = announced_at_.find(subject);
   const bool is_covered = announced != announced_at_.end() &&
-                          time_.now() - announced->second < settings_.announcement_lasts;
+                          time_.now() - announced->second < settings_.announcement_validity;
   return is_covered && is_open(subject);
 }
 
--- a/src/jobs/duty_fence.hpp
+++ b/src/jobs/duty_fence.hpp
@@ -19,7 +19,7 @@
   /// that an announced call may take to arrive.
   core::Duration pause = std::chrono::milliseconds(3700);
   /// An announcement covers calls that are sent within this time of it.
-  core::Duration announcement_lasts = std::chrono::milliseconds(800);
+  core::Duration announcement_validity = std::chrono::milliseconds(800);
 };
 
 class DutyFence {
--- a/src/jobs/item_dispatcher.cpp
+++ b/src/jobs/item_dispatcher.cpp
@@ -106,7 +106,7 @@
 }
 
 std::size_t ItemDispatcher::replicas_compared(const OpenJob& job) const {
-  return std::max(settings_.fewest_compared, job.items.size());
+  return std::max(settings_.min_candidates, job.items.size());
 }
 
 std::vector<ReplicaLoad> ItemDispatcher::loads(const std::vector<ingress::ReplicaPointer>& replicas,
@@ -234,8 +234,8 @@
   ItemProgress& item = run.job->items[run.item];
   item.state = ItemState::kScoring;
   item.made_at = MadeAt{run.replica->record.id, inputs_.time.now() - run.began, run.events_made};
-  laws_[run.job->job.model].note_whole(run.job->job.items[run.item].expected_tokens,
-                                       item.text.events.size());
+  length_estimators_[run.job->job.model].note_whole(run.job->job.items[run.item].expected_tokens,
+                                                    item.text.events.size());
 }
 
 /// Keeps a replica that did not do its part from the next texts for a while.
@@ -305,7 +305,7 @@
   run.cut.emit(asio::cancellation_type::terminal);
 }
 
-void ItemDispatcher::forget_silence() {
+void ItemDispatcher::reset_silence() {
   const core::MonotonicTime now = inputs_.time.now();
   for (const RunPointer& run : runs_) {
     run->last_event = now;
--- a/src/jobs/item_dispatcher.hpp
+++ b/src/jobs/item_dispatcher.hpp
@@ -18,8 +18,8 @@
 #include "jobs/open_job.hpp"
 #include "jobs/placement.hpp"
 #include "jobs/replica_speeds.hpp"
-#include "jobs/step_room.hpp"
-#include "jobs/step_shares.hpp"
+#include "jobs/step_capacity.hpp"
+#include "jobs/step_scheduler.hpp"
 #include "jobs/text_attempt.hpp"
 
 namespace stoneport::jobs {
@@ -31,10 +31,10 @@
   /// Replicas with room that are compared for the texts of a job, where there are so many; one
   /// for each text if that is more. Placing a text costs one look at each of them, and noting it
   /// one more in the view of each other job.
-  std::size_t fewest_compared = 256;
+  std::size_t min_candidates = 256;
   /// A text that gets no event for this long is moved; at least, and in event gaps.
-  core::Duration shortest_silence = std::chrono::milliseconds(450);
-  double silence_in_gaps = 8;
+  core::Duration min_silence = std::chrono::milliseconds(450);
+  double silence_gap_factor = 8;
   /// The same while the replica loads weights.
   core::Duration loading_silence = std::chrono::milliseconds(1600);
   /// The same while the replica is cold, and so slow.
@@ -43,7 +43,7 @@
   core::Duration suspicion = std::chrono::milliseconds(1500);
   core::Duration refusal_pause = std::chrono::milliseconds(60);
   /// Looking for texts that should move compares each with all replicas. Well below
-  /// shortest_silence, so that a silent text is seen in time.
+  /// min_silence, so that a silent text is seen in time.
   core::WorkPacerSettings move_checks{
       .share = 0.1, .shortest_interval = {}, .longest_interval = std::chrono::milliseconds(400)};
   /// Jobs of one rank are met whole, by turns, where there is too little room for all.
@@ -89,7 +89,7 @@
   /// ago for what it cost.
   void move_stragglers();
   /// This process was paused: what it did not hear is no sign of silence.
-  void forget_silence();
+  void reset_silence();
   /// Ends the runs of \p job; of all jobs when it is null.
   void cut(const OpenJobPointer& job);
   /// \return the texts that are made on \p replica.
@@ -170,7 +170,9 @@
                   core::MonotonicTime now) const;
   /// \return whether the text of \p item is expected to last long on a usual replica of \p view.
   bool is_long(const JobView& view, std::size_t item);
-  const LengthLaw& law_of(const OpenJob& job) { return laws_[job.job.model]; }
+  const LengthEstimator& length_estimator_of(const OpenJob& job) {
+    return length_estimators_[job.job.model];
+  }
   /// \return whether texts of \p job may be made on \p replica, now or in a moment.
   bool may_make(const OpenJob& job, const ingress::ReplicaState& replica,
                 core::MonotonicTime now) const;
@@ -195,9 +197,9 @@
   static bool has_failed_too_often(const ItemProgress& item, std::uint32_t most_attempts);
   void requeue(const RunPointer& run, const AttemptEnd& end);
   void note_replica(const Run& run, const AttemptEnd& end);
-  void move_silent(core::MonotonicTime now);
+  void move_from_silent_replicas(core::MonotonicTime now);
   bool is_silent(Run& run, core::MonotonicTime now, core::Duration usual_gap);
-  void move_to_faster(core::MonotonicTime now);
+  void move_to_faster_replicas(core::MonotonicTime now);
   /// \return what \p run would gain on the best replica of \p view that has room.
   std::optional<Move> best_move(const RunPointer& run, const JobView& view,
                                 core::MonotonicTime now);
@@ -216,9 +218,9 @@
   std::unordered_map<core::ReplicaId, ReplicaWork> work_;
   ReplicaSpeeds speeds_;
   core::WorkPacer move_pacer_;
-  std::map<core::ModelName, LengthLaw> laws_;
+  std::map<core::ModelName, LengthEstimator> length_estimators_;
   std::list<RunPointer> runs_;
-  StepShares step_shares_;
+  StepScheduler step_shares_;
   std::map<std::string, StepPlace> step_places_;  ///< by job, as last decided
   core::WorkPacer step_pacer_;
 };
--- a/src/jobs/item_dispatcher_meters.hpp
+++ b/src/jobs/item_dispatcher_meters.hpp
@@ -16,7 +16,7 @@
         held_for_cold(metrics.counter(
             "stoneport_texts_held_for_cold_total",
             "Times that texts found no place while replicas took no more as cold ones bear")),
-        put_behind(metrics.counter(
+        deferred(metrics.counter(
             "stoneport_steps_put_behind_total",
             "Jobs that were put behind others of their rank as not all can be whole in time")),
         met(metrics.counter("stoneport_steps_ended_total",
@@ -30,7 +30,7 @@
   prometheus::Counter& moved;
   prometheus::Counter& ejected;
   prometheus::Counter& held_for_cold;
-  prometheus::Counter& put_behind;
+  prometheus::Counter& deferred;
   prometheus::Counter& met;
   prometheus::Counter& missed;
   prometheus::Counter& whole;
--- a/src/jobs/item_dispatcher_moves.cpp
+++ b/src/jobs/item_dispatcher_moves.cpp
@@ -56,8 +56,8 @@
 bool ItemDispatcher::is_silent(Run& run, core::MonotonicTime now, core::Duration usual_gap) {
   const core::ReplicaId& id = run.replica->record.id;
   const core::Duration in_gaps =
-      core::from_seconds(core::to_seconds(usual_gap) * settings_.silence_in_gaps);
-  core::Duration patience = std::max(settings_.shortest_silence, in_gaps);
+      core::from_seconds(core::to_seconds(usual_gap) * settings_.silence_gap_factor);
+  core::Duration patience = std::max(settings_.min_silence, in_gaps);
   if (inputs_.is_loading(id, run.job->job.model)) {
     patience = std::max(patience, settings_.loading_silence);
   }
@@ -73,7 +73,7 @@
 }
 
 /// A move must not end in a queue.
-void ItemDispatcher::move_silent(core::MonotonicTime now) {
+void ItemDispatcher::move_from_silent_replicas(core::MonotonicTime now) {
   const core::Duration usual_gap = median_gap(now);
   const std::list<RunPointer> runs = runs_;
   for (const RunPointer& run : runs) {
@@ -96,7 +96,7 @@
   const ItemProgress& item = run->job->items[run->item];
   const bool may_move = run->move_reason.empty() &&
                         run->events_made >= settings_.moves.fewest_events &&
-                        item.speed_moves < settings_.moves.most_of_a_text;
+                        item.speed_moves < settings_.moves.max_moves_per_text;
   const ingress::ReplicaRecord& replica = run->replica->record;
   const auto work = work_.find(replica.id);
   if (!may_move || work == work_.end()) {
@@ -106,11 +106,11 @@
   move.run = run;
   move.here = speeds_.event_gap(replica.id, {work->second.running, replica.slots}, now);
   const core::Duration fastest = fastest_gap_with_room(view.loads);
-  const LengthLaw& law = law_of(*run->job);
+  const LengthEstimator& law = length_estimator_of(*run->job);
   if (fastest >= move.here || !law.is_known()) {
     return std::nullopt;  // most texts end here; what follows costs more
   }
-  const double rest = law.expected_rest(run->job->evidence_of(run->item));
+  const double rest = law.median_remaining(run->job->evidence_of(run->item));
   if (!gain_of_move(rest, move.here, fastest, settings_.moves)) {
     return std::nullopt;
   }
@@ -128,7 +128,7 @@
   return move;
 }
 
-void ItemDispatcher::move_to_faster(core::MonotonicTime now) {
+void ItemDispatcher::move_to_faster_replicas(core::MonotonicTime now) {
   std::map<OpenJob*, JobView> views = views_of_runs(now);
   for (std::uint32_t moved = 0; moved < settings_.moves.most_at_once; ++moved) {
     std::optional<Move> best;
@@ -163,8 +163,8 @@
   if (!move_pacer_.is_due(now)) {
     return;
   }
-  move_silent(now);
-  move_to_faster(now);
+  move_from_silent_replicas(now);
+  move_to_faster_replicas(now);
   move_pacer_.note(now, inputs_.time.now());
 }
 
--- a/src/jobs/item_dispatcher_placing.cpp
+++ b/src/jobs/item_dispatcher_placement.cpp
@@ -48,7 +48,7 @@
 void ItemDispatcher::place_all(std::vector<JobView> views, core::MonotonicTime now) {
   for (JobView& view : views) {
     if (view.job->order_is_stale) {
-      view.job->make_start_order(law_of(*view.job));
+      view.job->make_start_order(length_estimator_of(*view.job));
     }
   }
   std::erase_if(views, [&](JobView& view) { return !advance(view, now); });
@@ -72,7 +72,7 @@
     const std::size_t index = job.start_order[view.next];
     const ItemProgress& item = job.items[index];
     if (item.state == ItemState::kQueued && now >= item.not_before) {
-      view.latest_start = job.latest_start(index, law_of(job), view.median);
+      view.latest_start = job.latest_start(index, length_estimator_of(job), view.median);
       return true;
     }
     ++view.next;
@@ -126,11 +126,11 @@
 }
 
 bool ItemDispatcher::is_long(const JobView& view, std::size_t item) {
-  const LengthLaw& law = law_of(*view.job);
+  const LengthEstimator& law = length_estimator_of(*view.job);
   if (!law.is_known()) {
     return false;
   }
-  const double rest = law.expected_rest(view.job->evidence_of(item));
+  const double rest = law.median_remaining(view.job->evidence_of(item));
   const double allowed = core::to_seconds(view.job->route->run_deadline);
   return rest * core::to_seconds(view.median) >= settings_.placement.long_share * allowed;
 }
--- a/src/jobs/item_dispatcher_steps.cpp
+++ b/src/jobs/item_dispatcher_steps.cpp
@@ -40,7 +40,7 @@
   step.trainer = trainer_of(job);
   step.rank = rank_of(job);
   step.due = job.entry.accepted_at + job.route->run_deadline;
-  step.work = job.work_left(law_of(job));
+  step.work = job.remaining_work(length_estimator_of(job));
   core::Duration fastest = view.median;
   for (const ReplicaLoad& load : view.loads) {
     if (!load.closed && load.event_gap > core::Duration(0)) {
@@ -73,9 +73,10 @@
   for (const OpenJobPointer& job : jobs) {
     const JobView view = view_of(job, now);
     steps.push_back(step_of(view));
-    usable.push_back(law_of(*job).is_known() ? rates_of(view, now) : std::vector<ReplicaRate>());
+    usable.push_back(length_estimator_of(*job).is_known() ? rates_of(view, now)
+                                                          : std::vector<ReplicaRate>());
   }
-  StepRoom room = pool_replicas(usable);
+  StepCapacity room = build_step_capacity(usable);
   for (std::size_t index = 0; index < steps.size(); ++index) {
     steps[index].pools = std::move(room.pools[index]);
   }
@@ -94,8 +95,8 @@
 void ItemDispatcher::note_decision(const StepDecision& decision) {
   meters_->met.Increment(decision.met);
   meters_->missed.Increment(decision.missed);
-  for (const PutBehind& step : decision.put_behind) {
-    meters_->put_behind.Increment();
+  for (const DeferredStep& step : decision.deferred) {
+    meters_->deferred.Increment();
     core::log_decision(core::DecisionEvent::kStepPutBehind,
                        {{"job", step.job},
                         {"trainer", step.trainer},
--- a/src/jobs/job_records.cpp
+++ b/src/jobs/job_records.cpp
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-bool may_see(const JobIndexEntry& entry, const core::TenantName& caller) {
+bool can_access(const JobIndexEntry& entry, const core::TenantName& caller) {
   return entry.tenant.empty() || entry.tenant == caller;
 }
 
--- a/src/jobs/job_records.hpp
+++ b/src/jobs/job_records.hpp
@@ -44,7 +44,7 @@
 };
 
 /// \return whether \p caller may know of the job: its tenant may, and everybody where it has none.
-bool may_see(const JobIndexEntry& entry, const core::TenantName& caller);
+bool can_access(const JobIndexEntry& entry, const core::TenantName& caller);
 
 std::string job_key(std::string_view job);
 std::string ended_key(std::string_view job);
--- a/src/jobs/job_store.cpp
+++ b/src/jobs/job_store.cpp
@@ -58,7 +58,7 @@
 }
 
 asio::awaitable<bool> JobStore::store_serves() const {
-  const core::MonotonicTime give_up_at = time_.now() + settings_.patience_when_lost;
+  const core::MonotonicTime give_up_at = time_.now() + settings_.call_timeout_when_lost;
   while (store_is_lost() && time_.now() < give_up_at) {
     co_await runtime::sleep_for(kLostStoreCheck);
   }
@@ -70,7 +70,7 @@
   if (!serves) {
     co_return store_lost();
   }
-  const core::MonotonicTime give_up_at = time_.now() + settings_.patience;
+  const core::MonotonicTime give_up_at = time_.now() + settings_.call_timeout;
   bool may_take_effect = false;
   while (true) {
     ports::RecordTransaction copy = transaction;
@@ -177,7 +177,7 @@
     // The job exists: nothing here may say that it never will.
     co_return core::make_error(core::ErrorCode::kOutcomeUnknown, entry.error().message);
   }
-  if (!may_see(*entry, submission.tenant)) {
+  if (!can_access(*entry, submission.tenant)) {
     co_return core::make_error(core::ErrorCode::kInvalidArgument, "this id cannot be used");
   }
   co_return core::Result<void>();
@@ -205,7 +205,7 @@
 
 asio::awaitable<core::Result<std::vector<ports::Record>>> JobStore::read_range(
     ports::RecordRange range, bool first_page_only) {
-  const core::MonotonicTime give_up_at = time_.now() + settings_.patience;
+  const core::MonotonicTime give_up_at = time_.now() + settings_.call_timeout;
   std::vector<ports::Record> records;
   while (true) {
     const core::Revision known = store_.newest();
@@ -263,7 +263,7 @@
 asio::awaitable<core::Result<JobIndexEntry>> JobStore::find_for(core::TenantName caller,
                                                                 std::string job) {
   core::Result<JobIndexEntry> entry = co_await find(std::move(job));
-  if (entry && !may_see(*entry, caller)) {
+  if (entry && !can_access(*entry, caller)) {
     co_return core::make_error(core::ErrorCode::kNotFound, "no such job");
   }
   co_return entry;
--- a/src/jobs/job_store.hpp
+++ b/src/jobs/job_store.hpp
@@ -20,10 +20,10 @@
   core::AdaptiveTimeoutSettings attempt{.longest = std::chrono::milliseconds(900)};
   core::Duration retry_pause = std::chrono::milliseconds(80);
   /// Longest time that one call works on an answer of the store.
-  core::Duration patience = std::chrono::milliseconds(2500);
+  core::Duration call_timeout = std::chrono::milliseconds(2500);
   /// The same once the store has served this process nothing for lost_after: it may serve
   /// another process, which the client had better ask. Time enough to see it return.
-  core::Duration patience_when_lost = std::chrono::milliseconds(200);
+  core::Duration call_timeout_when_lost = std::chrono::milliseconds(200);
   core::Duration lost_after = std::chrono::milliseconds(1500);
 };
 
@@ -67,7 +67,7 @@
   /// \return success when the job that has the submission's id is the same tenant's.
   boost::asio::awaitable<core::Result<void>> confirm_earlier(const JobSubmission& submission);
   bool store_is_lost() const;
-  /// \return whether the store serves this process, at once or within patience_when_lost.
+  /// \return whether the store serves this process, at once or within call_timeout_when_lost.
   boost::asio::awaitable<bool> store_serves() const;
   ports::RecordTransaction submission_transaction(const std::string& job) const;
   boost::asio::awaitable<core::Result<void>> write_ahead(const std::string& job,
--- a/src/jobs/length_law.cpp
+++ b/src/jobs/length_estimator.cpp
@@ -1,9 +1,9 @@
-#include "jobs/length_law.hpp"
-
 #include <algorithm>
 #include <boost/math/distributions/normal.hpp>
 #include <cmath>
 
+#include "jobs/length_estimator.hpp"
+
 namespace stoneport::jobs {
 namespace {
 
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void LengthLaw::note_whole(std::uint64_t guess, std::uint64_t events) {
+void LengthEstimator::note_whole(std::uint64_t guess, std::uint64_t events) {
   if (events == 0) {
     return;
   }
@@ -43,14 +43,14 @@
   variance_ = (1 - weight) * (variance_ + weight * off * off);
 }
 
-bool LengthLaw::is_known() const {
+bool LengthEstimator::is_known() const {
   return count_ >= kFewestTexts;
 }
 
 /// \return the length that \p share of the texts of that guess have at most, of those that have
 /// \p at_least events.
-double LengthLaw::quantile_of_total(const LengthEvidence& evidence, double at_least,
-                                    double share) const {
+double LengthEstimator::quantile_of_total(const LengthEvidence& evidence, double at_least,
+                                          double share) const {
   const double spread = std::max(std::sqrt(variance_), kLeastSpread);
   const boost::math::normal law(std::log(guess_of(evidence.guess)) + mean_, spread);
   const double below = at_least > 0 ? boost::math::cdf(law, std::log(at_least)) : 0;
@@ -58,11 +58,11 @@
   return std::max(std::exp(boost::math::quantile(law, share_of_all)), at_least);
 }
 
-double LengthLaw::median_total(const LengthEvidence& evidence, double at_least) const {
+double LengthEstimator::median_total(const LengthEvidence& evidence, double at_least) const {
   return quantile_of_total(evidence, at_least, kMedian);
 }
 
-double LengthLaw::expected_rest(const LengthEvidence& evidence) const {
+double LengthEstimator::median_remaining(const LengthEvidence& evidence) const {
   const auto made = static_cast<double>(evidence.made);
   const auto seen = static_cast<double>(evidence.seen);
   if (evidence.seen_whole && evidence.seen > evidence.made) {
@@ -75,8 +75,8 @@
   return std::max({expected, made * kLeastRestShare, kLeastRest});
 }
 
-double LengthLaw::mean_rest(const LengthEvidence& evidence) const {
-  const double median = expected_rest(evidence);
+double LengthEstimator::mean_remaining(const LengthEvidence& evidence) const {
+  const double median = median_remaining(evidence);
   const bool is_told = evidence.seen_whole && evidence.seen > evidence.made;
   if (is_told || !is_known()) {
     return median;
@@ -95,8 +95,8 @@
   return std::max(total - static_cast<double>(evidence.made), median);
 }
 
-double LengthLaw::long_rest(const LengthEvidence& evidence) const {
-  const double median = expected_rest(evidence);
+double LengthEstimator::p90_remaining(const LengthEvidence& evidence) const {
+  const double median = median_remaining(evidence);
   const bool is_told = evidence.seen_whole && evidence.seen > evidence.made;
   if (is_told || !is_known()) {
     return median;
--- a/src/jobs/length_law.hpp
+++ b/src/jobs/length_estimator.hpp
@@ -19,7 +19,7 @@
 
 /// The law of length against guess: the logarithm of their ratio is taken as normal,
 /// with a mean and a spread that follow what is observed.
-class LengthLaw {
+class LengthEstimator {
  public:
   /// A whole text had \p events events.
   void note_whole(std::uint64_t guess, std::uint64_t events);
@@ -27,11 +27,11 @@
   bool is_known() const;
   /// \return the events that are still to come, in the median of such texts; without a
   /// known law the guess itself, which only ranks texts.
-  double expected_rest(const LengthEvidence& evidence) const;
+  double median_remaining(const LengthEvidence& evidence) const;
   /// \return the same in the mean, which is what many texts add up to; long texts weigh more in it.
-  double mean_rest(const LengthEvidence& evidence) const;
+  double mean_remaining(const LengthEvidence& evidence) const;
   /// \return the events within which nine of ten such texts end.
-  double long_rest(const LengthEvidence& evidence) const;
+  double p90_remaining(const LengthEvidence& evidence) const;
 
  private:
   double quantile_of_total(const LengthEvidence& evidence, double at_least, double share) const;
--- a/src/jobs/known_lengths.cpp
+++ b/src/jobs/length_history.cpp
@@ -1,10 +1,10 @@
-#include "jobs/known_lengths.hpp"
-
 #include <algorithm>
 
+#include "jobs/length_history.hpp"
+
 namespace stoneport::jobs {
 
-void KnownLengths::note(const std::string& item, const SeenLength& seen) {
+void LengthHistory::note(const std::string& item, const ObservedLength& seen) {
   if (seen.events == 0 || most_ == 0) {
     return;
   }
@@ -22,7 +22,7 @@
   }
 }
 
-std::optional<SeenLength> KnownLengths::find(const std::string& item) const {
+std::optional<ObservedLength> LengthHistory::find(const std::string& item) const {
   const auto found = by_item_.find(item);
   return found == by_item_.end() ? std::nullopt : std::optional(found->second);
 }
--- a/src/jobs/known_lengths.hpp
+++ b/src/jobs/length_history.hpp
@@ -13,26 +13,26 @@
 namespace stoneport::jobs {
 
 /// What an earlier attempt at an item told of its text.
-struct SeenLength {
+struct ObservedLength {
   std::uint64_t events = 0;  ///< that were made
   bool whole = false;        ///< there are no more
 
-  bool operator==(const SeenLength&) const = default;
+  bool operator==(const ObservedLength&) const = default;
 };
 
-class KnownLengths {
+class LengthHistory {
  public:
   /// \param most entries that are kept
-  explicit KnownLengths(std::size_t most = 8192) : most_(most) {}
+  explicit LengthHistory(std::size_t most = 8192) : most_(most) {}
 
   /// Keeps what tells more: a whole text's length, else the larger one.
-  void note(const std::string& item, const SeenLength& seen);
-  std::optional<SeenLength> find(const std::string& item) const;
+  void note(const std::string& item, const ObservedLength& seen);
+  std::optional<ObservedLength> find(const std::string& item) const;
   std::size_t size() const { return by_item_.size(); }
 
  private:
   std::size_t most_;
-  std::unordered_map<std::string, SeenLength> by_item_;
+  std::unordered_map<std::string, ObservedLength> by_item_;
   std::deque<std::string> order_;  ///< oldest first
 };
 
--- a/src/jobs/open_job.cpp
+++ b/src/jobs/open_job.cpp
@@ -22,20 +22,20 @@
   return left.is_whole != right.is_whole ? left.is_whole : left.rest < right.rest;
 }
 
-void add_item(Group& group, const OpenJob& open, std::size_t item, const LengthLaw& law) {
+void add_item(Group& group, const OpenJob& open, std::size_t item, const LengthEstimator& law) {
   group.items.push_back(item);
   const ItemState state = open.items[item].state;
   group.is_whole &= state == ItemState::kReady || state == ItemState::kListed;
   if (state == ItemState::kQueued || state == ItemState::kRunning) {
     const LengthEvidence evidence = open.evidence_of(item);
-    group.rest += law.mean_rest(evidence);
-    group.longest = std::max(group.longest, law.expected_rest(evidence));
-    group.late_longest = std::max(group.late_longest, law.long_rest(evidence));
+    group.rest += law.mean_remaining(evidence);
+    group.longest = std::max(group.longest, law.median_remaining(evidence));
+    group.late_longest = std::max(group.late_longest, law.p90_remaining(evidence));
   }
 }
 
 /// \return the groups of \p open, the one that lacks least first.
-std::vector<Group> groups_by_rest(const OpenJob& open, const LengthLaw& law) {
+std::vector<Group> groups_by_rest(const OpenJob& open, const LengthEstimator& law) {
   std::vector<Group> groups;
   std::unordered_map<std::string, std::size_t> by_name;
   for (std::size_t item = 0; item < open.items.size(); ++item) {
@@ -55,7 +55,7 @@
 }
 
 /// \return for each item when its turn comes; items of one turn may begin in any order.
-std::vector<std::size_t> turns_of(const OpenJob& open, const LengthLaw& law) {
+std::vector<std::size_t> turns_of(const OpenJob& open, const LengthEstimator& law) {
   std::vector<std::size_t> turns(open.items.size(), 0);
   if (open.order_kind == StartOrder::kLongestFirst) {
     return turns;
@@ -87,7 +87,7 @@
       return StartOrder::kLongestFirst;
     case StepPlan::kMeet:
       return StartOrder::kWantedFirst;
-    case StepPlan::kBehind:
+    case StepPlan::kDeferred:
     case StepPlan::kLost:
       return StartOrder::kByGroup;
   }
@@ -111,7 +111,7 @@
   order_kind = kind;
 }
 
-StepWork OpenJob::work_left(const LengthLaw& law) const {
+StepWork OpenJob::remaining_work(const LengthEstimator& law) const {
   const std::vector<Group> groups = groups_by_rest(*this, law);
   const std::size_t wanted = wanted_of(job, groups.size());
   StepWork work;
@@ -126,12 +126,12 @@
   return work;
 }
 
-void OpenJob::make_start_order(const LengthLaw& law) {
+void OpenJob::make_start_order(const LengthEstimator& law) {
   start_order.resize(items.size());
   std::iota(start_order.begin(), start_order.end(), std::size_t{0});
   std::vector<double> rest(items.size());
   for (std::size_t index = 0; index < items.size(); ++index) {
-    rest[index] = law.expected_rest(evidence_of(index));
+    rest[index] = law.median_remaining(evidence_of(index));
   }
   const std::vector<std::size_t> turns = turns_of(*this, law);
   // A step ends with its longest texts, so those that are likely to be long begin
@@ -142,10 +142,10 @@
   order_is_stale = false;
 }
 
-core::Duration OpenJob::latest_start(std::size_t item, const LengthLaw& law,
+core::Duration OpenJob::latest_start(std::size_t item, const LengthEstimator& law,
                                      core::Duration event_gap) const {
   const core::Duration allowed = route != nullptr ? route->run_deadline : core::Duration(0);
-  const double rest = law.expected_rest(evidence_of(item)) * core::to_seconds(event_gap);
+  const double rest = law.median_remaining(evidence_of(item)) * core::to_seconds(event_gap);
   return entry.accepted_at + allowed - core::from_seconds(rest);
 }
 
--- a/src/jobs/open_job.hpp
+++ b/src/jobs/open_job.hpp
@@ -14,9 +14,9 @@
 #include "jobs/item_text.hpp"
 #include "jobs/job.hpp"
 #include "jobs/job_records.hpp"
-#include "jobs/known_lengths.hpp"
-#include "jobs/length_law.hpp"
-#include "jobs/step_shares.hpp"
+#include "jobs/length_estimator.hpp"
+#include "jobs/length_history.hpp"
+#include "jobs/step_scheduler.hpp"
 
 namespace stoneport::jobs {
 
@@ -44,7 +44,7 @@
   core::MonotonicTime not_before{};      ///< when it may be placed again
   std::uint32_t speed_moves = 0;         ///< times that it went to a faster replica
   std::uint32_t silent_moves = 0;        ///< times that it left a silent one since its last event
-  std::optional<SeenLength> seen;        ///< of an earlier job: its group came back
+  std::optional<ObservedLength> seen;    ///< of an earlier job: its group came back
   std::optional<MadeAt> made_at;         ///< the run that made the text whole
 };
 
@@ -72,14 +72,14 @@
   /// \return what is known of the length of \p item.
   LengthEvidence evidence_of(std::size_t item) const;
   /// Puts the items that are queued in order by what \p law expects of them.
-  void make_start_order(const LengthLaw& law);
+  void make_start_order(const LengthEstimator& law);
   /// Has the items begin in another order from the next make_start_order() on.
   void set_order(StartOrder kind);
   /// \return what is to come until the wanted groups are whole: those that lack least.
-  StepWork work_left(const LengthLaw& law) const;
+  StepWork remaining_work(const LengthEstimator& law) const;
   /// \return the time by which the text of \p item should have begun, by the store's clock:
   /// what is expected of it takes until its job is due.
-  core::Duration latest_start(std::size_t item, const LengthLaw& law,
+  core::Duration latest_start(std::size_t item, const LengthEstimator& law,
                               core::Duration event_gap) const;
 };
 /// \return the order in which a job's items begin that has \p plan.
--- a/src/jobs/placement.cpp
+++ b/src/jobs/placement.cpp
@@ -95,7 +95,7 @@
       core::from_seconds(rest * core::to_seconds(here - there)) - settings.cost;
   const bool is_faster =
       core::to_seconds(there) <= settings.largest_gap_share * core::to_seconds(here);
-  if (there <= core::Duration(0) || !is_faster || saved < settings.least_gain) {
+  if (there <= core::Duration(0) || !is_faster || saved < settings.min_gain) {
     return std::nullopt;
   }
   return saved;
--- a/src/jobs/placement.hpp
+++ b/src/jobs/placement.hpp
@@ -70,9 +70,9 @@
   /// within what the measured speeds of like replicas differ by.
   double largest_gap_share = 0.87;
   /// A move must save this much beyond its cost.
-  core::Duration least_gain = std::chrono::milliseconds(150);
+  core::Duration min_gain = std::chrono::milliseconds(150);
   /// Moves for speed that one text may make.
-  std::uint32_t most_of_a_text = 4;
+  std::uint32_t max_moves_per_text = 4;
   /// Moves for speed at one look (every 100 ms or so).
   std::uint32_t most_at_once = 4;
   /// Events that a text must get on a replica before it leaves it for a faster one.
--- a/src/jobs/rating_share.cpp
+++ b/src/jobs/rating_quota.cpp
@@ -1,7 +1,7 @@
-#include "jobs/rating_share.hpp"
-
 #include <algorithm>
 
+#include "jobs/rating_quota.hpp"
+
 namespace stoneport::jobs {
 namespace {
 
@@ -29,14 +29,15 @@
 
 }  // namespace
 
-bool is_turn_of(const RatingClaim& claim, const RatingClaim& first, core::Duration same_step) {
+bool may_start_before(const RatingPriority& claim, const RatingPriority& first,
+                      core::Duration same_step) {
   if (claim.rank != first.rank) {
     return claim.rank < first.rank;
   }
   return claim.due <= first.due + same_step;
 }
 
-bool is_crowded(const ingress::LoadCounts& recent, const RatingShareSettings& settings) {
+bool is_crowded(const ingress::LoadCounts& recent, const RatingQuotaSettings& settings) {
   const std::uint64_t unsent = recent.refused_for(ingress::RefusalReason::kOverload);
   const std::uint64_t requests = recent.sends + unsent;
   const std::uint64_t refused = recent.sends_refused + unsent;
@@ -44,10 +45,10 @@
          static_cast<double>(refused) >= settings.crowded_refusals * static_cast<double>(requests);
 }
 
-std::uint32_t places_for_ratings(const RatingService& service,
-                                 const std::vector<core::Duration>& time_left,
-                                 const RatingShareSettings& settings) {
-  const auto most = static_cast<std::uint32_t>(service.places * (1 - settings.kept_for_clients));
+std::uint32_t rating_quota(const RatingService& service,
+                           const std::vector<core::Duration>& time_left,
+                           const RatingQuotaSettings& settings) {
+  const auto most = static_cast<std::uint32_t>(service.places * (1 - settings.client_reserve));
   const std::uint64_t planned = places_needed(time_left, settings.planned_time, service.call_time);
   const std::uint64_t least = places_needed(time_left, 1, service.call_time);
   const bool needs_all = least > most && least <= service.places;
--- a/src/jobs/replica_speeds.cpp
+++ b/src/jobs/replica_speeds.cpp
@@ -11,8 +11,8 @@
   return static_cast<double>(taken.running) / std::max(taken.slots, 1u);
 }
 
-double slowdown(const SlowdownLaw& law, const Occupancy& taken) {
-  return 1 + law.when_full() * share_of(taken);
+double slowdown(const SlowdownEstimator& law, const Occupancy& taken) {
+  return 1 + law.full_load_slowdown() * share_of(taken);
 }
 
 }  // namespace
@@ -20,7 +20,7 @@
 void ReplicaSpeeds::note_event(const core::ReplicaId& replica, const core::ServiceName& service,
                                const Occupancy& taken, core::Duration gap,
                                core::MonotonicTime now) {
-  SlowdownLaw& law = laws_.try_emplace(service, settings_.slowdown).first->second;
+  SlowdownEstimator& law = laws_.try_emplace(service, settings_.slowdown).first->second;
   Known& known = known_[replica];
   const bool is_new = known.empty_gap <= 0 || now - known.last_event > settings_.memory;
   if (is_new) {
--- a/src/jobs/replica_speeds.hpp
+++ b/src/jobs/replica_speeds.hpp
@@ -11,7 +11,7 @@
 
 #include "core/identifiers.hpp"
 #include "core/time.hpp"
-#include "jobs/slowdown_law.hpp"
+#include "jobs/slowdown_estimator.hpp"
 
 namespace stoneport::jobs {
 
@@ -48,13 +48,13 @@
   struct Known {
     double empty_gap = 0;  ///< seconds between events if a text ran alone
     core::MonotonicTime last_event{};
-    UsualWork usual;
-    const SlowdownLaw* law = nullptr;  ///< of its service
+    ReplicaBaseline usual;
+    const SlowdownEstimator* law = nullptr;  ///< of its service
   };
 
   ReplicaSpeedSettings settings_;
   std::unordered_map<core::ReplicaId, Known> known_;
-  std::map<core::ServiceName, SlowdownLaw> laws_;
+  std::map<core::ServiceName, SlowdownEstimator> laws_;
 };
 
 }  // namespace stoneport::jobs
--- a/src/jobs/scorer.cpp
+++ b/src/jobs/scorer.cpp
@@ -41,13 +41,13 @@
   return found;
 }
 
-Scorer::KnownRoute& Scorer::known(const ingress::Route& route) {
+Scorer::RouteStatistics& Scorer::known(const ingress::Route& route) {
   const auto found = known_.find(route.name);
   if (found != known_.end()) {
     return found->second;
   }
-  KnownRoute fresh{routing::CallTimes(settings_.call_times),
-                   routing::RetryBudget(settings_.second_calls)};
+  RouteStatistics fresh{routing::CallTimes(settings_.call_times),
+                        routing::RetryBudget(settings_.second_calls)};
   return known_.emplace(route.name, std::move(fresh)).first->second;
 }
 
@@ -236,7 +236,7 @@
 /// A call at a suspect replica is free to go elsewhere, as others have shown that it is silent;
 /// without that the service as a whole may be slow, and another call loads it more.
 bool Scorer::should_cut(const Text& text, const Attempt& attempt, const routing::CallBounds& bounds,
-                        KnownRoute& route) {
+                        RouteStatistics& route) {
   if (!attempt.replica || attempt.is_cut || !is_silent(attempt)) {
     return false;
   }
@@ -249,7 +249,7 @@
          taken >= route.times.patience(bounds, text.given_up) && route.second_calls.try_retry(now);
 }
 
-void Scorer::look_after(const TextPointer& text) {
+void Scorer::check_attempts(const TextPointer& text) {
   const RouteInForce in_force = route_of(text->call);
   const AttemptPointer newest = text->attempts.back();
   if (in_force.route == nullptr || !newest->replica || newest->is_cut) {
@@ -257,7 +257,7 @@
   }
   const core::MonotonicTime now = time_.now();
   const routing::CallBounds bounds{in_force.route->timeout, in_force.route->target_latency};
-  KnownRoute& route = known(*in_force.route);
+  RouteStatistics& route = known(*in_force.route);
   routing::CallsOut calls;
   calls.newest_taken = now - newest->sent_at;
   calls.usual = route.times.usual(bounds);
@@ -297,8 +297,8 @@
   cut(attempt);
 }
 
-asio::awaitable<void> Scorer::begin_when_free(TextPointer text,
-                                              const std::function<bool()>& is_wanted) {
+asio::awaitable<void> Scorer::begin_when_slot_free(TextPointer text,
+                                                   const std::function<bool()>& is_wanted) {
   const core::Duration left = text->not_before - time_.now();
   if (left > core::Duration(0)) {
     co_await runtime::sleep_for(left);
@@ -327,7 +327,7 @@
 }
 
 asio::awaitable<Score> Scorer::score(ScoringCall call, std::function<bool()> is_wanted,
-                                     std::optional<RatingClaim> claim) {
+                                     std::optional<RatingPriority> claim) {
   const auto text = std::make_shared<Text>(co_await asio::this_coro::executor, std::move(call));
   text->claim = claim;
   Demand* const demand = demand_of(*text);
@@ -337,9 +337,9 @@
   while (!text->end && is_wanted()) {
     refresh_share(text->call);
     if (text->attempts.empty()) {
-      co_await begin_when_free(text, is_wanted);
+      co_await begin_when_slot_free(text, is_wanted);
     } else {
-      look_after(text);
+      check_attempts(text);
     }
     co_await wait_for_change(*text);
   }
--- a/src/jobs/scorer.hpp
+++ b/src/jobs/scorer.hpp
@@ -14,7 +14,7 @@
 
 #include "ingress/forwarder.hpp"
 #include "jobs/job.hpp"
-#include "jobs/rating_share.hpp"
+#include "jobs/rating_quota.hpp"
 #include "routing/call_times.hpp"
 #include "routing/retry_budget.hpp"
 #include "routing/second_call_policy.hpp"
@@ -24,14 +24,14 @@
 struct ScorerSettings {
   /// Share of the places of a service that rating calls may take; the rest is for
   /// clients, whose requests have the shorter target.
-  double share_of_places = 0.4;
+  double slot_share = 0.4;
   /// The same while more calls wait than that share lets through: a late step costs
   /// more than late lookups.
-  double share_under_pressure = 1.0;
+  double slot_share_under_pressure = 1.0;
   std::uint32_t fewest_at_once = 2;
   /// While clients crowd the service, the share follows from the work that is due instead.
   bool shares_by_due_time = true;
-  RatingShareSettings rating_share;
+  RatingQuotaSettings rating_share;
   routing::CallTimeSettings call_times;
   /// Second calls, and the third for those that get no answer: a tenth of the first ones, so that a
   /// service that turned slow as a whole is not loaded with twice the calls, and about as many as
@@ -69,7 +69,7 @@
   /// any more when it returns.
   /// \param claim of the text's step; none when it is not known when that is due
   boost::asio::awaitable<Score> score(ScoringCall call, std::function<bool()> is_wanted,
-                                      std::optional<RatingClaim> claim = std::nullopt);
+                                      std::optional<RatingPriority> claim = std::nullopt);
 
  private:
   struct Meters;
@@ -90,14 +90,14 @@
     std::string signature;
   };
   /// What is known of a route's calls.
-  struct KnownRoute {
+  struct RouteStatistics {
     routing::CallTimes times;
     routing::RetryBudget second_calls;
   };
   /// What is due of the texts of one route.
   struct Demand {
     std::multiset<core::MonotonicTime> due;  ///< of all that are to be rated
-    std::multiset<RatingClaim> waiting;      ///< of those that have no call out
+    std::multiset<RatingPriority> waiting;   ///< of those that have no call out
     std::optional<std::uint32_t> share;      ///< places for them; none without a crowd
     core::MonotonicTime share_until{};       ///< it is made anew then
   };
@@ -107,7 +107,7 @@
     const ingress::Route* route = nullptr;             ///< null when there is none
   };
   RouteInForce route_of(const ScoringCall& call) const;
-  KnownRoute& known(const ingress::Route& route);
+  RouteStatistics& known(const ingress::Route& route);
   /// \return whether \p replica has places for rating calls: it works, in a zone that is open.
   bool takes_calls(const ingress::ReplicaState& replica) const;
   std::uint32_t most_at_once(const ScoringCall& call) const;
@@ -132,8 +132,8 @@
   /// \return whether the replica has answered nothing since \p attempt was sent there.
   bool is_silent(const Attempt& attempt) const;
 
-  boost::asio::awaitable<void> begin_when_free(TextPointer text,
-                                               const std::function<bool()>& is_wanted);
+  boost::asio::awaitable<void> begin_when_slot_free(TextPointer text,
+                                                    const std::function<bool()>& is_wanted);
   void begin(const TextPointer& text, bool is_second);
   boost::asio::awaitable<void> run(TextPointer text, AttemptPointer attempt);
   boost::asio::awaitable<Answer> call(TextPointer text, AttemptPointer attempt);
@@ -141,10 +141,10 @@
   void on_rated(Text& text, const Attempt& winner, const std::string& signature);
   void on_failed_answer(Text& text, const Attempt& failed);
   /// Cuts a call that waits for a silent replica, or sends a second one where it is due.
-  void look_after(const TextPointer& text);
+  void check_attempts(const TextPointer& text);
   /// \return whether to end \p attempt, which may be lost, and to send another one.
   bool should_cut(const Text& text, const Attempt& attempt, const routing::CallBounds& bounds,
-                  KnownRoute& route);
+                  RouteStatistics& route);
   void give_up(Text& text, Attempt& attempt);
   void cut(Attempt& attempt);
   boost::asio::awaitable<void> cut_all(Text& text);
@@ -158,8 +158,8 @@
   std::unique_ptr<Meters> meters_;
   std::uint32_t in_flight_ = 0;
   std::uint32_t waiting_ = 0;
-  std::map<std::string, Demand> demands_;    ///< by the route's name
-  std::map<std::string, KnownRoute> known_;  ///< by the route's name
+  std::map<std::string, Demand> demands_;         ///< by the route's name
+  std::map<std::string, RouteStatistics> known_;  ///< by the route's name
 };
 
 }  // namespace stoneport::jobs
--- a/src/jobs/scorer_parts.hpp
+++ b/src/jobs/scorer_parts.hpp
@@ -47,10 +47,10 @@
       : call(std::move(scoring_call)), changed(std::move(executor)) {}
 
   ScoringCall call;
-  std::optional<RatingClaim> claim;    ///< of its step, where known
-  std::list<AttemptPointer> attempts;  ///< that are out, in the order of their beginning
-  boost::asio::steady_timer changed;   ///< cancelled when one of them ends
-  core::MonotonicTime not_before{};    ///< the next one begins then at the earliest
+  std::optional<RatingPriority> claim;  ///< of its step, where known
+  std::list<AttemptPointer> attempts;   ///< that are out, in the order of their beginning
+  boost::asio::steady_timer changed;    ///< cancelled when one of them ends
+  core::MonotonicTime not_before{};     ///< the next one begins then at the earliest
   std::uint32_t failures = 0;
   std::uint32_t given_up = 0;      ///< calls that got no answer in their time
   std::set<core::ReplicaId> left;  ///< replicas that did not answer it, or failed it
--- a/src/jobs/scorer_shares.cpp
+++ b/src/jobs/scorer_shares.cpp
@@ -70,7 +70,7 @@
   const routing::CallBounds bounds{route.timeout, route.target_latency};
   const std::uint32_t places = places_of(route);
   const RatingService service{places, usual_share(places), known(route).times.usual(bounds)};
-  return places_for_ratings(service, time_left, settings_.rating_share);
+  return rating_quota(service, time_left, settings_.rating_share);
 }
 
 bool Scorer::is_its_turn(const Text& text) const {
@@ -78,12 +78,12 @@
   if (!text.claim || in_force.route == nullptr || !share_of(*in_force.route)) {
     return true;
   }
-  const std::multiset<RatingClaim>& waiting = demands_.at(in_force.route->name).waiting;
-  return waiting.empty() || is_turn_of(*text.claim, *waiting.begin(), settings_.same_step);
+  const std::multiset<RatingPriority>& waiting = demands_.at(in_force.route->name).waiting;
+  return waiting.empty() || may_start_before(*text.claim, *waiting.begin(), settings_.same_step);
 }
 
 std::uint32_t Scorer::usual_share(std::uint32_t places) const {
-  return static_cast<std::uint32_t>(places * settings_.share_of_places);
+  return static_cast<std::uint32_t>(places * settings_.slot_share);
 }
 
 std::uint32_t Scorer::most_at_once(const ScoringCall& call) const {
@@ -97,7 +97,7 @@
     return std::clamp(*share, std::min(settings_.fewest_at_once, places), places);
   }
   const std::uint32_t usual = usual_share(places);
-  const auto most = static_cast<std::uint32_t>(places * settings_.share_under_pressure);
+  const auto most = static_cast<std::uint32_t>(places * settings_.slot_share_under_pressure);
   return std::max(waiting_ > usual ? most : usual, settings_.fewest_at_once);
 }
 
--- a/src/jobs/slowdown_law.cpp
+++ b/src/jobs/slowdown_estimator.cpp
@@ -1,10 +1,10 @@
-#include "jobs/slowdown_law.hpp"
-
 #include <algorithm>
 
+#include "jobs/slowdown_estimator.hpp"
+
 namespace stoneport::jobs {
 
-bool SlowdownLaw::is_odd(UsualWork& usual, double gap, double time) const {
+bool SlowdownEstimator::is_outlier(ReplicaBaseline& usual, double gap, double time) const {
   const bool is_near =
       gap <= usual.gap * settings_.largest_factor && gap * settings_.largest_factor >= usual.gap;
   if (usual.seen <= 0 || is_near) {
@@ -13,18 +13,18 @@
   }
   usual.odd += time;
   if (usual.odd >= core::to_seconds(settings_.new_speed_after)) {
-    usual = UsualWork();
+    usual = ReplicaBaseline();
   }
   return true;
 }
 
-void SlowdownLaw::note(UsualWork& usual, double gap, double share, double time) {
-  if (is_odd(usual, gap, time)) {
+void SlowdownEstimator::note(ReplicaBaseline& usual, double gap, double share, double time) {
+  if (is_outlier(usual, gap, time)) {
     return;
   }
   if (usual.seen >= core::to_seconds(settings_.settled_after)) {
     // The gap is usual.gap * (1 + s * share) / (1 + s * usual.share) if s is the law.
-    const double share_deviation = (share - usual.share) / (1 + when_full() * usual.share);
+    const double share_deviation = (share - usual.share) / (1 + full_load_slowdown() * usual.share);
     evidence_ += time * share_deviation * share_deviation;
     product_ += time * share_deviation * (gap / usual.gap - 1);
   }
@@ -39,7 +39,7 @@
   usual.share += weight * (share - usual.share);
 }
 
-double SlowdownLaw::when_full() const {
+double SlowdownEstimator::full_load_slowdown() const {
   const double slope = (product_ + settings_.prior * settings_.prior_evidence) /
                        (evidence_ + settings_.prior_evidence);
   return std::clamp(slope, 0.0, settings_.most);
--- a/src/jobs/slowdown_law.hpp
+++ b/src/jobs/slowdown_estimator.hpp
@@ -31,29 +31,29 @@
 };
 
 /// What one replica has done lately.
-struct UsualWork {
+struct ReplicaBaseline {
   double gap = 0;    ///< seconds between two events of a text
   double share = 0;  ///< of its places that are taken
   double seen = 0;   ///< seconds that these stand on; zero when nothing is known
   double odd = 0;    ///< seconds in which all gaps differed too much from the usual one
 };
 
-class SlowdownLaw {
+class SlowdownEstimator {
  public:
-  explicit SlowdownLaw(SlowdownSettings settings = {}) : settings_(settings) {}
+  explicit SlowdownEstimator(SlowdownSettings settings = {}) : settings_(settings) {}
 
   /// An event came on a replica. Replicas differ in speed, so each is held against itself.
   /// \param usual of that replica; takes the event in
   /// \param gap seconds since the event before it of the same text
   /// \param share of the replica's places that were taken
   /// \param time seconds that the event stands for
-  void note(UsualWork& usual, double gap, double share, double time);
+  void note(ReplicaBaseline& usual, double gap, double share, double time);
   /// \return how much longer an event takes on a full replica, as a share.
-  double when_full() const;
+  double full_load_slowdown() const;
 
  private:
   /// \return whether \p gap tells nothing of what the replica usually does.
-  bool is_odd(UsualWork& usual, double gap, double time) const;
+  bool is_outlier(ReplicaBaseline& usual, double gap, double time) const;
 
   SlowdownSettings settings_;
   double evidence_ = 0;  ///< squared deviations of the share, in seconds
--- a/src/jobs/step_room.cpp
+++ b/src/jobs/step_capacity.cpp
@@ -1,8 +1,8 @@
-#include "jobs/step_room.hpp"
-
 #include <map>
 #include <unordered_map>
 
+#include "jobs/step_capacity.hpp"
+
 namespace stoneport::jobs {
 namespace {
 
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-StepRoom pool_replicas(const std::vector<std::vector<ReplicaRate>>& usable) {
+StepCapacity build_step_capacity(const std::vector<std::vector<ReplicaRate>>& usable) {
   std::unordered_map<core::ReplicaId, SharedReplica> replicas;
   for (std::size_t job = 0; job < usable.size(); ++job) {
     for (const ReplicaRate& replica : usable[job]) {
@@ -27,7 +27,7 @@
   for (const auto& [id, shared] : replicas) {
     by_jobs[shared.jobs] += shared.rate;
   }
-  StepRoom room;
+  StepCapacity room;
   room.pools.resize(usable.size());
   for (const auto& [jobs, rate] : by_jobs) {
     for (const std::size_t job : jobs) {
--- a/src/jobs/step_room.hpp
+++ b/src/jobs/step_capacity.hpp
@@ -16,12 +16,12 @@
   double rate = 0;  ///< events a second, of all its texts
 };
 
-struct StepRoom {
+struct StepCapacity {
   std::vector<double> rates;                    ///< of each pool, events a second
   std::vector<std::vector<std::size_t>> pools;  ///< for each job, indexes into rates
 };
 
 /// \param usable for each job the replicas that may make its texts
-StepRoom pool_replicas(const std::vector<std::vector<ReplicaRate>>& usable);
+StepCapacity build_step_capacity(const std::vector<std::vector<ReplicaRate>>& usable);
 
 }  // namespace stoneport::jobs
--- a/src/jobs/step_shares.cpp
+++ b/src/jobs/step_scheduler.cpp
@@ -1,10 +1,10 @@
-#include "jobs/step_shares.hpp"
-
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 #include <tuple>
 
+#include "jobs/step_scheduler.hpp"
+
 namespace stoneport::jobs {
 namespace {
 
@@ -74,22 +74,22 @@
 
 }  // namespace
 
-double StepShares::earned(const std::string& trainer) const {
+double StepScheduler::earned(const std::string& trainer) const {
   const auto found = trainers_.find(trainer);
   return found == trainers_.end() ? 0 : found->second.earned;
 }
 
-bool StepShares::is_begun(const OpenStep& step) const {
+bool StepScheduler::is_begun(const OpenStep& step) const {
   const auto known = known_.find(step.job);
   return known != known_.end() && known->second.plan == StepPlan::kMeet;
 }
 
-bool StepShares::can_be_met(const OpenStep& step, core::Duration now) const {
+bool StepScheduler::can_be_met(const OpenStep& step, core::Duration now) const {
   const core::Duration end = is_begun(step) ? step.last_end : step.late_end;
   return step.work.rest <= 0 || now + end + settings_.finish <= step.due;
 }
 
-void StepShares::note_ended(const Known& step, StepDecision& decision) {
+void StepScheduler::record_ended(const Known& step, StepDecision& decision) {
   const bool is_met = step.share_in_time >= kMetShare;
   ++(is_met ? decision.met : decision.missed);
   Trainer& own = trainers_[step.trainer];
@@ -97,24 +97,24 @@
   if (!is_met) {
     return;
   }
-  own.passed_by = 0;
+  own.equals_met = 0;
   std::set<std::string> waiting;
   for (const auto& [job, other] : known_) {
-    const bool waits = other.plan == StepPlan::kBehind || other.plan == StepPlan::kLost;
+    const bool waits = other.plan == StepPlan::kDeferred || other.plan == StepPlan::kLost;
     if (waits && other.rank == step.rank && other.trainer != step.trainer) {
       waiting.insert(other.trainer);
     }
   }
   for (const std::string& trainer : waiting) {
-    ++trainers_[trainer].passed_by;
+    ++trainers_[trainer].equals_met;
   }
 }
 
-void StepShares::learn(const std::vector<OpenStep>& steps, core::Duration now,
-                       StepDecision& decision) {
+void StepScheduler::update_steps(const std::vector<OpenStep>& steps, core::Duration now,
+                                 StepDecision& decision) {
   std::set<std::string> open;
   for (const OpenStep& step : steps) {
-    note_trainer(step, now);
+    update_trainer(step, now);
     open.insert(step.job);
     Known& known = known_[step.job];
     known.trainer = step.trainer;
@@ -131,11 +131,11 @@
     }
     const Known ended = known->second;
     known = known_.erase(known);
-    note_ended(ended, decision);
+    record_ended(ended, decision);
   }
 }
 
-void StepShares::fade(core::Duration now) {
+void StepScheduler::decay_earned(core::Duration now) {
   std::erase_if(trainers_,
                 [&](const auto& entry) { return now - entry.second.last_seen > settings_.memory; });
   const double passed = std::max(core::to_seconds(now - faded_at_), 0.0);
@@ -147,7 +147,7 @@
 }
 
 /// One that comes new has as much as the least of the others: nothing is owed for the time before.
-void StepShares::note_trainer(const OpenStep& step, core::Duration now) {
+void StepScheduler::update_trainer(const OpenStep& step, core::Duration now) {
   const auto found = trainers_.find(step.trainer);
   if (found != trainers_.end()) {
     found->second.last_seen = now;
@@ -162,7 +162,7 @@
   trainers_.emplace(step.trainer, trainer);
 }
 
-void StepShares::sort_by_claim(Steps& steps) const {
+void StepScheduler::sort_by_priority(Steps& steps) const {
   std::set<std::string> trainers;
   for (const OpenStep* step : steps) {
     trainers.insert(step->trainer);
@@ -170,7 +170,7 @@
   // Whoever has seen a step of each of its equals met goes before all that wait less.
   const auto claim = [&](const OpenStep* step) {
     const Trainer& trainer = trainers_.at(step->trainer);
-    const bool waits_less = trainer.passed_by + 1 < trainers.size() || trainers.size() < 2;
+    const bool waits_less = trainer.equals_met + 1 < trainers.size() || trainers.size() < 2;
     return std::make_tuple(!is_begun(*step), waits_less, trainer.earned, step->due, step->job);
   };
   std::sort(steps.begin(), steps.end(), [&](const OpenStep* left, const OpenStep* right) {
@@ -198,18 +198,18 @@
 
 }  // namespace
 
-bool StepShares::is_far_ahead(const OpenStep& step, const Steps& equals,
-                              const Steps& chosen) const {
-  const double bound = trainers_.at(step.trainer).earned - settings_.most_ahead;
+bool StepScheduler::is_far_ahead(const OpenStep& step, const Steps& equals,
+                                 const Steps& chosen) const {
+  const double bound = trainers_.at(step.trainer).earned - settings_.max_lead;
   return std::any_of(equals.begin(), equals.end(), [&](const OpenStep* other) {
     const bool waits = std::find(chosen.begin(), chosen.end(), other) == chosen.end();
     return waits && share_pool(step, *other) && trainers_.at(other->trainer).earned < bound;
   });
 }
 
-std::set<const OpenStep*> StepShares::choose(const Steps& ahead, const Steps& by_claim,
-                                             const std::vector<double>& rates,
-                                             core::Duration now) const {
+std::set<const OpenStep*> StepScheduler::choose(const Steps& ahead, const Steps& by_claim,
+                                                const std::vector<double>& rates,
+                                                core::Duration now) const {
   const auto can_be_met = [&](const OpenStep& step) { return this->can_be_met(step, now); };
   const auto seconds = [&](const OpenStep& step) {
     return core::to_seconds(step.due - settings_.finish - now);
@@ -230,8 +230,8 @@
   return {chosen.begin(), chosen.end()};
 }
 
-void StepShares::decide_rank(const Steps& ahead, Steps equals, const std::vector<double>& rates,
-                             core::Duration now, StepDecision& decision) {
+void StepScheduler::decide_rank(const Steps& ahead, Steps equals, const std::vector<double>& rates,
+                                core::Duration now, StepDecision& decision) {
   const std::uint32_t rank = equals.front()->rank;
   const auto can_be_met = [&](const OpenStep& step) { return this->can_be_met(step, now); };
   const auto seconds = [&](const OpenStep& step) {
@@ -248,7 +248,7 @@
     return;
   }
   short_ranks_.insert(rank);
-  sort_by_claim(equals);
+  sort_by_priority(equals);
   const std::set<const OpenStep*> chosen = choose(ahead, equals, rates, now);
   Room room(rates, 1);
   for (const OpenStep* step : ahead) {
@@ -271,23 +271,23 @@
       continue;
     }
     const bool is_lost = !can_be_met(*step);
-    const StepPlan plan = is_lost ? StepPlan::kLost : StepPlan::kBehind;
+    const StepPlan plan = is_lost ? StepPlan::kLost : StepPlan::kDeferred;
     decision.places[step->job] = {plan, ++position};
-    const bool was_behind = known.plan == StepPlan::kBehind || known.plan == StepPlan::kLost;
+    const bool was_behind = known.plan == StepPlan::kDeferred || known.plan == StepPlan::kLost;
     known.plan = plan;
     if (!was_behind) {
       const double late = room.busy_seconds(*step) - seconds(*step);
-      decision.put_behind.push_back(
+      decision.deferred.push_back(
           {step->job, step->trainer, core::from_seconds(std::max(late, 0.0)), is_lost});
     }
   }
 }
 
-StepDecision StepShares::decide(const std::vector<OpenStep>& steps,
-                                const std::vector<double>& rates, core::Duration now) {
+StepDecision StepScheduler::decide(const std::vector<OpenStep>& steps,
+                                   const std::vector<double>& rates, core::Duration now) {
   StepDecision decision;
-  fade(now);
-  learn(steps, now, decision);
+  decay_earned(now);
+  update_steps(steps, now, decision);
   std::map<std::uint32_t, Steps> by_rank;
   for (const OpenStep& step : steps) {
     by_rank[step.rank].push_back(&step);
--- a/src/jobs/step_shares.hpp
+++ b/src/jobs/step_scheduler.hpp
@@ -38,10 +38,10 @@
 };
 
 enum class StepPlan {
-  kUsual,   ///< all can be met: in order of the latest start
-  kMeet,    ///< is to be met; among such, in order of the latest start
-  kBehind,  ///< gets what those to be met leave
-  kLost,    ///< can't be met any more: gets what all others leave
+  kUsual,     ///< all can be met: in order of the latest start
+  kMeet,      ///< is to be met; among such, in order of the latest start
+  kDeferred,  ///< gets what those to be met leave
+  kLost,      ///< can't be met any more: gets what all others leave
 };
 
 struct StepPlace {
@@ -53,7 +53,7 @@
 };
 
 /// A step that was to be met, or newly came, was put behind others of its rank.
-struct PutBehind {
+struct DeferredStep {
   std::string job;
   std::string trainer;
   core::Duration expected_lateness{};  ///< with all that goes before it; zero where it is lost
@@ -62,12 +62,12 @@
 
 struct StepDecision {
   std::map<std::string, StepPlace> places;  ///< by job
-  std::vector<PutBehind> put_behind;        ///< changes alone
+  std::vector<DeferredStep> deferred;       ///< changes alone
   std::uint32_t met = 0;                    ///< steps that ended met since the last decision
   std::uint32_t missed = 0;
 };
 
-struct StepSharesSettings {
+struct StepSchedulerSettings {
   /// A whole text is rated and listed before it counts: a call and a write to the store.
   core::Duration finish = std::chrono::milliseconds(400);
   /// Share of the replicas' rate that steps are planned on: a step ends with few long texts, which
@@ -79,15 +79,15 @@
   double usable_at_end = 0.6;
   /// Steps that a trainer may have earned more than one whose step waits; its new ones are put
   /// behind beyond that.
-  double most_ahead = 1;
+  double max_lead = 1;
   /// Over which time trainers of one rank are to fare alike, some fifteen steps; and after which
   /// one without a step is forgotten.
   core::Duration memory = std::chrono::seconds(60);
 };
 
-class StepShares {
+class StepScheduler {
  public:
-  explicit StepShares(StepSharesSettings settings = {}) : settings_(settings) {}
+  explicit StepScheduler(StepSchedulerSettings settings = {}) : settings_(settings) {}
 
   /// \param steps all open jobs; one that is missing has ended
   /// \param rates events a second of each pool of replicas
@@ -102,7 +102,7 @@
   /// What is remembered of a trainer.
   struct Trainer {
     double earned = 0;
-    std::uint32_t passed_by = 0;  ///< steps of its equals met since its own last one
+    std::uint32_t equals_met = 0;  ///< steps of its equals met since its own last one
     core::Duration last_seen{};
   };
   /// What is remembered of an open job.
@@ -115,11 +115,11 @@
   };
   using Steps = std::vector<const OpenStep*>;
 
-  void learn(const std::vector<OpenStep>& steps, core::Duration now, StepDecision& decision);
-  void note_ended(const Known& step, StepDecision& decision);
+  void update_steps(const std::vector<OpenStep>& steps, core::Duration now, StepDecision& decision);
+  void record_ended(const Known& step, StepDecision& decision);
   /// Lets what trainers earned count less with time.
-  void fade(core::Duration now);
-  void note_trainer(const OpenStep& step, core::Duration now);
+  void decay_earned(core::Duration now);
+  void update_trainer(const OpenStep& step, core::Duration now);
   /// Decides on the steps of one rank; \p ahead are those of the ranks before it.
   void decide_rank(const Steps& ahead, Steps equals, const std::vector<double>& rates,
                    core::Duration now, StepDecision& decision);
@@ -129,13 +129,13 @@
   /// \return whether the trainer of \p step has earned much more than one whose step waits.
   bool is_far_ahead(const OpenStep& step, const Steps& equals, const Steps& chosen) const;
   /// Puts first who has to be met first: begun ones, then who was passed by or met least.
-  void sort_by_claim(Steps& steps) const;
+  void sort_by_priority(Steps& steps) const;
   bool is_begun(const OpenStep& step) const;
   /// \return whether \p step could be met with all the room there is. One that was chosen counts
   /// as such while it may just be, a new one while it is likely.
   bool can_be_met(const OpenStep& step, core::Duration now) const;
 
-  StepSharesSettings settings_;
+  StepSchedulerSettings settings_;
   std::map<std::string, Trainer> trainers_;
   core::Duration faded_at_{};
   std::map<std::string, Known> known_;
--- a/src/jobs/term_keeper.cpp
+++ b/src/jobs/term_keeper.cpp
@@ -21,7 +21,8 @@
   return core::from_seconds(core::to_seconds(kLongestBidDelay) * lacking);
 }
 
-void TermWatch::on_change(core::MonotonicTime now, bool has_holder, core::Duration heartbeat_age) {
+void TermObserver::on_change(core::MonotonicTime now, bool has_holder,
+                             core::Duration heartbeat_age) {
   const bool is_first = !changed_at_;
   has_holder_ = has_holder;
   const core::Duration silence =
@@ -29,7 +30,7 @@
   changed_at_ = is_first ? now - silence : now;
 }
 
-core::Duration TermWatch::patience(HolderSign sign) const {
+core::Duration TermObserver::patience(HolderStatus sign) const {
   if (!has_holder_) {
     return core::Duration(0);
   }
@@ -37,26 +38,26 @@
   // that learns it first must still leave the term to a large one that has not yet.
   const bool trusts_signs = settings_.bid_delay == core::Duration(0);
   switch (sign) {
-    case HolderSign::kEnded:
-      return trusts_signs ? core::Duration(0) : settings_.take_over_from_suspect_after;
-    case HolderSign::kSuspect:
-      return trusts_signs ? settings_.take_over_from_suspect_after : settings_.take_over_after;
-    case HolderSign::kUnknown:
+    case HolderStatus::kEnded:
+      return trusts_signs ? core::Duration(0) : settings_.takeover_from_suspect_after;
+    case HolderStatus::kSuspect:
+      return trusts_signs ? settings_.takeover_from_suspect_after : settings_.takeover_after;
+    case HolderStatus::kUnknown:
       break;
   }
-  return settings_.take_over_after;
+  return settings_.takeover_after;
 }
 
-HolderSign TermWatch::weighed(HolderSign sign) {
-  const bool is_ended = sign == HolderSign::kEnded;
+HolderStatus TermObserver::effective_status(HolderStatus sign) {
+  const bool is_ended = sign == HolderStatus::kEnded;
   ended_before_ = is_ended && (ended_before_ || is_new_holder_);
   is_new_holder_ = false;
-  return ended_before_ ? HolderSign::kUnknown : sign;
+  return ended_before_ ? HolderStatus::kUnknown : sign;
 }
 
-bool TermWatch::should_bid(core::MonotonicTime now, core::MonotonicTime last_answer, double spread,
-                           HolderSign sign) {
-  const HolderSign trusted = weighed(sign);
+bool TermObserver::should_bid(core::MonotonicTime now, core::MonotonicTime last_answer,
+                              double spread, HolderStatus sign) {
+  const HolderStatus trusted = effective_status(sign);
   const bool was_paused = last_tick_ && now - *last_tick_ > settings_.longest_gap;
   last_tick_ = now;
   const bool store_is_silent = now - last_answer > settings_.longest_store_silence;
@@ -191,7 +192,7 @@
       if (!is_eligible) {
         watch_.on_ineligible(now);
       }
-      const HolderSign sign = listener_.sign_of(seen_.holder);
+      const HolderStatus sign = listener_.holder_status(seen_.holder);
       const bool should = watch_.should_bid(now, mirror_.last_answer(), spread_, sign);
       if (should && is_eligible) {
         co_await bid();
@@ -219,7 +220,7 @@
   on_deposed("released");
 }
 
-asio::awaitable<void> TermKeeper::hand_back() {
+asio::awaitable<void> TermKeeper::step_down() {
   co_await give_up_term();
 }
 
--- a/src/jobs/term_keeper.hpp
+++ b/src/jobs/term_keeper.hpp
@@ -32,9 +32,9 @@
   std::string holder;
   core::Duration write_timeout = std::chrono::milliseconds(900);
   /// Silence of the heartbeat after which another process takes over.
-  core::Duration take_over_after = std::chrono::milliseconds(1200);
+  core::Duration takeover_after = std::chrono::milliseconds(1200);
   /// The same when other signs say that the holder is gone.
-  core::Duration take_over_from_suspect_after = std::chrono::milliseconds(500);
+  core::Duration takeover_from_suspect_after = std::chrono::milliseconds(500);
   /// A heartbeat may be this old when it is seen, while the store is slow.
   core::Duration heartbeat_transit = std::chrono::milliseconds(600);
   /// Bids of several processes are spread over this.
@@ -52,16 +52,16 @@
 };
 
 /// What else a process knows of the term's holder than its heartbeat.
-enum class HolderSign {
+enum class HolderStatus {
   kUnknown,  ///< nothing that speaks against it
   kSuspect,  ///< the members cannot reach it
   kEnded,    ///< its process surely runs no more
 };
 
 /// What a process that does not hold the term has seen of it. Plain code.
-class TermWatch {
+class TermObserver {
  public:
-  explicit TermWatch(const TermSettings& settings) : settings_(settings) {}
+  explicit TermObserver(const TermSettings& settings) : settings_(settings) {}
 
   /// The term's or the heartbeat's record has changed.
   /// \param heartbeat_age by the store's clock; only the first one seen counts, as
@@ -76,16 +76,16 @@
   /// \param spread between 0 and 1, drawn anew for each process
   /// \return whether to bid for the term now.
   bool should_bid(core::MonotonicTime now, core::MonotonicTime last_answer, double spread,
-                  HolderSign sign = HolderSign::kUnknown);
+                  HolderStatus sign = HolderStatus::kUnknown);
   /// This process could not coordinate yet: its bid delay counts from now on.
   void on_ineligible(core::MonotonicTime now) { ineligible_at_ = now; }
   /// \return when either record last changed; the start of time before the first one.
   core::MonotonicTime changed_at() const { return changed_at_.value_or(core::MonotonicTime()); }
 
  private:
-  core::Duration patience(HolderSign sign) const;
+  core::Duration patience(HolderStatus sign) const;
   /// \return \p sign, or nothing where it is an end from before the holder's term.
-  HolderSign weighed(HolderSign sign);
+  HolderStatus effective_status(HolderStatus sign);
 
   TermSettings settings_;
   bool has_holder_ = false;
@@ -100,7 +100,7 @@
  public:
   struct Listener {
     std::function<bool()> eligible;  ///< whether this process may hold the term now
-    std::function<HolderSign(const std::string& holder)> sign_of;
+    std::function<HolderStatus(const std::string& holder)> holder_status;
     std::function<void(Term)> on_gain;
     std::function<void()> on_loss;
   };
@@ -122,7 +122,7 @@
   /// \return when the term or its heartbeat last changed as seen from here.
   core::MonotonicTime changed_at() const { return watch_.changed_at(); }
   /// Gives the term up for now; this process may bid again.
-  boost::asio::awaitable<void> hand_back();
+  boost::asio::awaitable<void> step_down();
   /// Gives the term up, so that another process takes it at once; never bids again.
   boost::asio::awaitable<void> release();
 
@@ -140,7 +140,7 @@
   Listener listener_;
   core::RandomSource random_;
   const core::TimeSource& time_;
-  TermWatch watch_;
+  TermObserver watch_;
   records::TableMirror mirror_;
   TermRecord seen_;
   core::Revision seen_revision_;
--- a/src/jobs/tenure.cpp
+++ b/src/jobs/term_session.cpp
@@ -1,4 +1,4 @@
-#include "jobs/tenure.hpp"
+#include "jobs/term_session.hpp"
 
 #include "core/decision_log.hpp"
 #include "ingress/route_regions.hpp"
@@ -30,7 +30,7 @@
 constexpr core::Duration kLongestGap = std::chrono::milliseconds(500);
 }  // namespace
 
-struct Tenure::Meters {
+struct TermSession::Meters {
   explicit Meters(core::Metrics& metrics)
       : open_jobs(metrics.gauge("stoneport_open_jobs", "Jobs that this coordinator works on")),
         job_seconds(metrics.seconds_histogram("stoneport_job_seconds",
@@ -50,8 +50,8 @@
   prometheus::Counter& adoptions_held_back;
 };
 
-Tenure::Tenure(const CoordinatorInputs& inputs, const CoordinatorSettings& settings,
-               TermKeeper& keeper, Term term)
+TermSession::TermSession(const CoordinatorInputs& inputs, const CoordinatorSettings& settings,
+                         TermKeeper& keeper, Term term)
     : inputs_(inputs),
       settings_(settings),
       keeper_(keeper),
@@ -60,9 +60,9 @@
       meters_(std::make_unique<Meters>(inputs.metrics)),
       dispatch_pacer_(kDispatches) {}
 
-Tenure::~Tenure() = default;
+TermSession::~TermSession() = default;
 
-void Tenure::start() {
+void TermSession::start() {
   make_parts();
   last_tick_ = inputs_.time.now();
   inputs_.directory.gate().cold_pace().begin_term(last_tick_ + settings_.order_confirmation +
@@ -73,14 +73,14 @@
     duty->start();
   }
   runtime::start(inputs_.executor, "coordinator start", begin(shared_from_this()));
-  runtime::start(inputs_.executor, "orders", learn_orders(shared_from_this()));
+  runtime::start(inputs_.executor, "orders", load_order_history(shared_from_this()));
   runtime::start(inputs_.executor, "coordinator tick", tick_loop(shared_from_this()));
   runtime::start(inputs_.executor, "job sweep", sweep_loop(shared_from_this()));
 }
 
-void Tenure::stop() {
+void TermSession::stop() {
   over_ = true;
-  keep_pace();
+  extend_gate();
   index_->stop();
   writer_->stop();
   loader_->stop();
@@ -94,15 +94,15 @@
   meters_->open_jobs.Set(0);
 }
 
-asio::awaitable<void> Tenure::hand_over() {
+asio::awaitable<void> TermSession::hand_over() {
   handing_over_ = true;
-  keep_pace();
+  extend_gate();
   loader_->stop();
   co_await writer_->flush(kLongestFlush);
 }
 
 /// Learns which jobs need no more work, then follows the index.
-asio::awaitable<void> Tenure::begin(std::shared_ptr<Tenure> self) {
+asio::awaitable<void> TermSession::begin(std::shared_ptr<TermSession> self) {
   bool known = false;
   while (!self->over_ && !known) {
     ports::RecordRange range{std::string(kWholeTable), std::string(kTermPartition)};
@@ -118,7 +118,7 @@
   }
 }
 
-std::vector<OpenJobPointer> Tenure::open_jobs() const {
+std::vector<OpenJobPointer> TermSession::open_jobs() const {
   std::vector<OpenJobPointer> open;
   for (const auto& [id, job] : jobs_) {
     if (!job->over) {
@@ -128,7 +128,7 @@
   return open;
 }
 
-void Tenure::on_index(const records::TableMirror::Records& records) {
+void TermSession::on_index(const records::TableMirror::Records& records) {
   if (over_) {
     return;
   }
@@ -154,10 +154,10 @@
   }
 }
 
-asio::awaitable<void> Tenure::adopt(std::shared_ptr<Tenure> self, std::string id,
-                                    JobIndexEntry entry, bool is_fresh) {
+asio::awaitable<void> TermSession::adopt(std::shared_ptr<TermSession> self, std::string id,
+                                         JobIndexEntry entry, bool is_fresh) {
   while (!self->over_ && !self->closed_.contains(id)) {
-    if (!self->may_hold(entry)) {
+    if (!self->can_process_job(entry)) {
       self->meters_->adoptions_held_back.Increment();
       co_await runtime::sleep_for(kElsewhereRetry);
       continue;
@@ -182,7 +182,7 @@
   self->adopting_.erase(id);
 }
 
-bool Tenure::may_hold(const JobIndexEntry& entry) const {
+bool TermSession::can_process_job(const JobIndexEntry& entry) const {
   const std::shared_ptr<const ingress::RouteTable> table = inputs_.routes.current();
   const ingress::Route* route =
       table ? table->find(entry.host, http::path_of(entry.path)) : nullptr;
@@ -190,7 +190,7 @@
          ingress::binding_of(*table, *route, entry.tenant).allows(settings_.region);
 }
 
-void Tenure::open(const OpenJobPointer& job, bool is_fresh) {
+void TermSession::open(const OpenJobPointer& job, bool is_fresh) {
   core::log_decision(core::DecisionEvent::kJobAdopted,
                      {{"job", job->job.id},
                       {"epoch", term_.epoch.value()},
@@ -202,18 +202,18 @@
     closed_.insert(job->job.id);
     return;
   }
-  recall_lengths(*job);
+  restore_lengths(*job);
   jobs_[job->job.id] = job;
   wanted_weights_.note_job(job->job, open_jobs());
   meters_->open_jobs.Set(static_cast<double>(jobs_.size()));
   dispatch_soon();
 }
 
-void Tenure::close(const OpenJobPointer& job, std::string_view reason) {
+void TermSession::close(const OpenJobPointer& job, std::string_view reason) {
   job->over = true;
   closed_.insert(job->job.id);
   jobs_.erase(job->job.id);
-  remember_lengths(*job);
+  record_lengths(*job);
   dispatcher_->cut(job);
   meters_->open_jobs.Set(static_cast<double>(jobs_.size()));
   const std::optional<ports::StoreTime> now = inputs_.store.now();
@@ -227,7 +227,7 @@
   dispatch_soon();
 }
 
-void Tenure::remember_lengths(const OpenJob& job) {
+void TermSession::record_lengths(const OpenJob& job) {
   for (std::size_t index = 0; index < job.items.size(); ++index) {
     const ItemProgress& item = job.items[index];
     const bool is_whole = item.state == ItemState::kScoring;
@@ -235,13 +235,13 @@
   }
 }
 
-void Tenure::recall_lengths(OpenJob& job) const {
+void TermSession::restore_lengths(OpenJob& job) const {
   for (std::size_t index = 0; index < job.items.size(); ++index) {
     job.items[index].seen = lengths_.find(job.job.items[index].id);
   }
 }
 
-void Tenure::refresh_route(OpenJob& job) const {
+void TermSession::refresh_route(OpenJob& job) const {
   const std::shared_ptr<const ingress::RouteTable> table = inputs_.routes.current();
   if (table == job.table) {
     return;
@@ -255,16 +255,16 @@
   }
 }
 
-void Tenure::dispatch_soon() {
+void TermSession::dispatch_soon() {
   if (dispatch_pending_ || over_) {
     return;
   }
   dispatch_pending_ = true;
-  runtime::start(inputs_.executor, "dispatch", dispatch_in_turn(shared_from_this()));
+  runtime::start(inputs_.executor, "dispatch", dispatch_after_pause(shared_from_this()));
 }
 
 /// What changes within a few milliseconds is placed together.
-asio::awaitable<void> Tenure::dispatch_in_turn(std::shared_ptr<Tenure> self) {
+asio::awaitable<void> TermSession::dispatch_after_pause(std::shared_ptr<TermSession> self) {
   const core::Duration wait = self->dispatch_pacer_.wait(self->inputs_.time.now());
   if (wait > core::Duration(0)) {
     co_await runtime::sleep_for(wait);
@@ -276,7 +276,7 @@
 /// An end that the store has acknowledged must stop its job's items: without a fresh
 /// view of the index nothing new may start. The age is that of the store's answer and not of
 /// its arrival here: in a process that falls behind answers wait before they are read.
-bool Tenure::knows_ends() const {
+bool TermSession::has_fresh_index() const {
   const std::optional<ports::StoreTime> now = inputs_.store.now();
   const std::optional<ports::StoreTime> seen = index_->seen_at();
   if (now && seen) {
@@ -285,11 +285,11 @@
   return inputs_.time.now() - index_->last_answer() < kOldestIndexView;
 }
 
-void Tenure::dispatch() {
+void TermSession::dispatch() {
   if (over_ || handing_over_) {
     return;
   }
-  if (!knows_ends()) {
+  if (!has_fresh_index()) {
     meters_->dispatches_held_back.Increment();
     return;
   }
@@ -307,18 +307,18 @@
   meters_->dispatch_seconds.Observe(core::to_seconds(ended - began));
 }
 
-std::optional<RatingClaim> Tenure::claim_of(const OpenJob& job) const {
+std::optional<RatingPriority> TermSession::rating_priority_of(const OpenJob& job) const {
   const std::optional<ports::StoreTime> now = inputs_.store.now();
   const bool is_timed = job.entry.accepted_at != ports::StoreTime(0);
   if (!now || !is_timed || job.route == nullptr || job.route->run_deadline <= core::Duration(0)) {
     return std::nullopt;
   }
   const core::Duration left = job.entry.accepted_at + job.route->run_deadline - *now;
-  return RatingClaim{rank_of(job), inputs_.time.now() + left};
+  return RatingPriority{rank_of(job), inputs_.time.now() + left};
 }
 
-asio::awaitable<void> Tenure::score(std::shared_ptr<Tenure> self, OpenJobPointer job,
-                                    std::size_t item) {
+asio::awaitable<void> TermSession::score(std::shared_ptr<TermSession> self, OpenJobPointer job,
+                                         std::size_t item) {
   const std::optional<ScoringCall> call = job->job.items[item].scoring;
   if (!call) {
     self->list(job, item, ResultState::kCompleted, "");
@@ -327,7 +327,8 @@
   std::function<bool()> is_wanted = [tenure = self.get(), open = job.get(), item] {
     return !tenure->over_ && !open->over && open->items[item].state == ItemState::kScoring;
   };
-  const Score score = co_await self->scorer_->score(*call, is_wanted, self->claim_of(*job));
+  const Score score =
+      co_await self->scorer_->score(*call, is_wanted, self->rating_priority_of(*job));
   if (!is_wanted()) {
     co_return;
   }
@@ -339,8 +340,8 @@
   }
 }
 
-void Tenure::log_given_up(const OpenJob& job, std::size_t item, std::string_view end,
-                          const std::string& reason) const {
+void TermSession::log_given_up(const OpenJob& job, std::size_t item, std::string_view end,
+                               const std::string& reason) const {
   core::log_decision(core::DecisionEvent::kItemFailed,
                      {{"job", job.job.id},
                       {"item", job.job.items[item].id},
@@ -349,8 +350,8 @@
                       {"reason", reason}});
 }
 
-void Tenure::list(const OpenJobPointer& job, std::size_t item, ResultState state,
-                  std::string score) {
+void TermSession::list(const OpenJobPointer& job, std::size_t item, ResultState state,
+                       std::string score) {
   ItemProgress& progress = job->items[item];
   progress.state = ItemState::kReady;
   JobResult result;
@@ -364,7 +365,7 @@
   writer_->add({job, item, std::move(result)});
 }
 
-void Tenure::on_listed(const PendingResult& listed, std::uint64_t position) {
+void TermSession::on_listed(const PendingResult& listed, std::uint64_t position) {
   const JobItem& item = listed.job->job.items[listed.item];
   const bool is_completed = listed.result.state == ResultState::kCompleted;
   ItemProgress& progress = listed.job->items[listed.item];
@@ -397,7 +398,7 @@
   }
 }
 
-void Tenure::expire_items() {
+void TermSession::expire_items() {
   const std::optional<ports::StoreTime> now = inputs_.store.now();
   for (const OpenJobPointer& job : open_jobs()) {
     const bool is_timed =
@@ -415,14 +416,14 @@
   }
 }
 
-bool Tenure::is_sure_of_term() const {
+bool TermSession::can_act_on_term() const {
   const core::MonotonicTime now = inputs_.time.now();
   const bool is_awake = now - last_tick_ < kLongestGap;
   const bool is_confirmed = now - keeper_.confirmed_at() < settings_.order_confirmation;
   return !over_ && !handing_over_ && is_awake && is_confirmed;
 }
 
-void Tenure::keep_pace() {
+void TermSession::extend_gate() {
   const bool has_ended = over_ || handing_over_;
   const core::MonotonicTime sure_until =
       std::min(keeper_.confirmed_at() + settings_.order_confirmation, last_tick_ + kLongestGap);
@@ -430,12 +431,12 @@
                                                                  : sure_until);
 }
 
-bool Tenure::may_order() const {
-  return orders_known_ && is_sure_of_term();
+bool TermSession::may_order() const {
+  return order_history_loaded_ && can_act_on_term();
 }
 
-asio::awaitable<void> Tenure::learn_orders(std::shared_ptr<Tenure> self) {
-  while (!self->over_ && !self->orders_known_) {
+asio::awaitable<void> TermSession::load_order_history(std::shared_ptr<TermSession> self) {
+  while (!self->over_ && !self->order_history_loaded_) {
     ports::RecordRange range{std::string(kOrderTable), std::string(kTermPartition)};
     const core::Result<std::vector<ports::Record>> orders =
         co_await self->inputs_.jobs.read_range(std::move(range), false);
@@ -447,12 +448,12 @@
       const core::Duration age = age_of(record.value, self->inputs_.store.now());
       self->loader_->hold_back(record.key, now + self->settings_.order_pause - age);
     }
-    self->orders_known_ = true;
+    self->order_history_loaded_ = true;
   }
 }
 
-asio::awaitable<std::optional<core::MonotonicTime>> Tenure::announce_order(
-    std::shared_ptr<Tenure> self, core::ReplicaId replica) {
+asio::awaitable<std::optional<core::MonotonicTime>> TermSession::announce_order(
+    std::shared_ptr<TermSession> self, core::ReplicaId replica) {
   if (!self || self->over_) {
     co_return std::nullopt;
   }
@@ -460,7 +461,7 @@
   co_return co_await OrderAnnouncer::announce(std::move(announcer), std::move(replica));
 }
 
-std::vector<ports::Record> Tenure::index_records() const {
+std::vector<ports::Record> TermSession::index_records() const {
   std::vector<ports::Record> all;
   for (const auto& [key, record] : index_->records()) {
     all.push_back(record);
@@ -468,7 +469,7 @@
   return all;
 }
 
-asio::awaitable<void> Tenure::sweep_loop(std::shared_ptr<Tenure> self) {
+asio::awaitable<void> TermSession::sweep_loop(std::shared_ptr<TermSession> self) {
   while (!self->over_) {
     co_await runtime::sleep_for(self->settings_.sweep_interval);
     const std::optional<ports::StoreTime> now = self->inputs_.store.now();
@@ -487,15 +488,15 @@
   }
 }
 
-asio::awaitable<void> Tenure::tick_loop(std::shared_ptr<Tenure> self) {
+asio::awaitable<void> TermSession::tick_loop(std::shared_ptr<TermSession> self) {
   while (!self->over_) {
     const core::MonotonicTime now = self->inputs_.time.now();
     const bool was_paused = now - self->last_tick_ > kLongestGap;
     self->last_tick_ = now;
-    self->keep_pace();
+    self->extend_gate();
     if (was_paused) {
-      self->dispatcher_->forget_silence();
-    } else if (self->knows_ends()) {
+      self->dispatcher_->reset_silence();
+    } else if (self->has_fresh_index()) {
       self->dispatcher_->move_stragglers();
     }
     self->expire_items();
--- a/src/jobs/tenure.hpp
+++ b/src/jobs/term_session.hpp
@@ -22,11 +22,11 @@
 
 namespace stoneport::jobs {
 
-class Tenure : public std::enable_shared_from_this<Tenure> {
+class TermSession : public std::enable_shared_from_this<TermSession> {
  public:
-  Tenure(const CoordinatorInputs& inputs, const CoordinatorSettings& settings, TermKeeper& keeper,
-         Term term);
-  ~Tenure();
+  TermSession(const CoordinatorInputs& inputs, const CoordinatorSettings& settings,
+              TermKeeper& keeper, Term term);
+  ~TermSession();
   void start();
   void stop();
   void dispatch_soon();
@@ -41,32 +41,32 @@
   void make_dispatcher();
   void make_loader();
   void make_duties();
-  static boost::asio::awaitable<void> begin(std::shared_ptr<Tenure> self);
-  static boost::asio::awaitable<void> tick_loop(std::shared_ptr<Tenure> self);
-  static boost::asio::awaitable<void> sweep_loop(std::shared_ptr<Tenure> self);
+  static boost::asio::awaitable<void> begin(std::shared_ptr<TermSession> self);
+  static boost::asio::awaitable<void> tick_loop(std::shared_ptr<TermSession> self);
+  static boost::asio::awaitable<void> sweep_loop(std::shared_ptr<TermSession> self);
   std::vector<ports::Record> index_records() const;
 
   void on_index(const records::TableMirror::Records& records);
-  static boost::asio::awaitable<void> adopt(std::shared_ptr<Tenure> self, std::string id,
+  static boost::asio::awaitable<void> adopt(std::shared_ptr<TermSession> self, std::string id,
                                             JobIndexEntry entry, bool is_fresh);
   void open(const OpenJobPointer& job, bool is_fresh);
   void close(const OpenJobPointer& job, std::string_view reason);
   /// Keeps how long the texts of \p job were, for groups that come back.
-  void remember_lengths(const OpenJob& job);
-  void recall_lengths(OpenJob& job) const;
+  void record_lengths(const OpenJob& job);
+  void restore_lengths(OpenJob& job) const;
   /// \return whether the job's body may be read by this process, by its regions.
-  bool may_hold(const JobIndexEntry& entry) const;
+  bool can_process_job(const JobIndexEntry& entry) const;
   void refresh_route(OpenJob& job) const;
   void expire_items();
   std::vector<OpenJobPointer> open_jobs() const;
-  static boost::asio::awaitable<void> dispatch_in_turn(std::shared_ptr<Tenure> self);
-  bool knows_ends() const;
+  static boost::asio::awaitable<void> dispatch_after_pause(std::shared_ptr<TermSession> self);
+  bool has_fresh_index() const;
   void dispatch();
 
   /// \return the rank of \p job and when its results are due, by this process's clock; none while
   /// the store's clock is not known, or when its route states no time.
-  std::optional<RatingClaim> claim_of(const OpenJob& job) const;
-  static boost::asio::awaitable<void> score(std::shared_ptr<Tenure> self, OpenJobPointer job,
+  std::optional<RatingPriority> rating_priority_of(const OpenJob& job) const;
+  static boost::asio::awaitable<void> score(std::shared_ptr<TermSession> self, OpenJobPointer job,
                                             std::size_t item);
   void list(const OpenJobPointer& job, std::size_t item, ResultState state, std::string score);
   void log_given_up(const OpenJob& job, std::size_t item, std::string_view end,
@@ -74,14 +74,14 @@
   void on_listed(const PendingResult& listed, std::uint64_t position);
 
   /// Whether this process may act on its term now.
-  bool is_sure_of_term() const;
+  bool can_act_on_term() const;
   bool may_order() const;
   /// Tells the gate until when no other process coordinates, for all that this one knows.
-  void keep_pace();
+  void extend_gate();
   /// Learns which replicas a former holder has ordered lately.
-  static boost::asio::awaitable<void> learn_orders(std::shared_ptr<Tenure> self);
+  static boost::asio::awaitable<void> load_order_history(std::shared_ptr<TermSession> self);
   static boost::asio::awaitable<std::optional<core::MonotonicTime>> announce_order(
-      std::shared_ptr<Tenure> self, core::ReplicaId replica);
+      std::shared_ptr<TermSession> self, core::ReplicaId replica);
 
   CoordinatorInputs inputs_;
   CoordinatorSettings settings_;
@@ -92,7 +92,7 @@
   std::map<std::string, OpenJobPointer> jobs_;
   std::set<std::string> adopting_;
   std::set<std::string> closed_;  ///< ids that need no more work
-  KnownLengths lengths_;
+  LengthHistory lengths_;
   std::unique_ptr<records::TableMirror> index_;
   std::shared_ptr<TermWriter> writer_;
   std::shared_ptr<ItemDispatcher> dispatcher_;
@@ -103,7 +103,7 @@
   std::vector<TermDutyPointer> duties_;
   core::MonotonicTime last_tick_{};
   core::WorkPacer dispatch_pacer_;
-  bool orders_known_ = false;
+  bool order_history_loaded_ = false;
   bool dispatch_pending_ = false;
   bool handing_over_ = false;
   bool over_ = false;
--- a/src/jobs/tenure_parts.cpp
+++ b/src/jobs/term_session_parts.cpp
@@ -1,12 +1,12 @@
-// The part of Tenure that makes its parts and tells them whom to call. Each listener holds the
+// The part of TermSession that makes its parts and tells them whom to call. Each listener holds the
 // tenure weakly: a part that still runs when the term ends calls nobody.
-#include "jobs/tenure.hpp"
+#include "jobs/term_session.hpp"
 #include "runtime/tasks.hpp"
 
 namespace stoneport::jobs {
 
-void Tenure::make_writer() {
-  const std::weak_ptr<Tenure> weak = weak_from_this();
+void TermSession::make_writer() {
+  const std::weak_ptr<TermSession> weak = weak_from_this();
   TermWriter::Listener listener;
   listener.open_jobs = [weak] {
     const auto self = weak.lock();
@@ -32,8 +32,8 @@
                                    inputs_.time, inputs_.metrics, settings_.writer);
 }
 
-void Tenure::make_dispatcher() {
-  const std::weak_ptr<Tenure> weak = weak_from_this();
+void TermSession::make_dispatcher() {
+  const std::weak_ptr<TermSession> weak = weak_from_this();
   ItemDispatcher::Listener listener;
   listener.on_whole = [weak](const OpenJobPointer& job, std::size_t item) {
     const auto self = weak.lock();
@@ -62,8 +62,8 @@
                                                  settings_.dispatcher);
 }
 
-void Tenure::make_loader() {
-  const std::weak_ptr<Tenure> weak = weak_from_this();
+void TermSession::make_loader() {
+  const std::weak_ptr<TermSession> weak = weak_from_this();
   weights::WeightLoader::Inputs loading;
   loading.wanted = [weak] {
     const auto self = weak.lock();
@@ -94,16 +94,16 @@
       std::move(settings), inputs_.time, inputs_.metrics);
 }
 
-void Tenure::make_duties() {
+void TermSession::make_duties() {
   if (!inputs_.term_duties) {
     return;
   }
-  const std::weak_ptr<Tenure> weak = weak_from_this();
+  const std::weak_ptr<TermSession> weak = weak_from_this();
   TermContext context;
   context.term = term_;
   context.is_sure = [weak] {
     const auto self = weak.lock();
-    return self && self->is_sure_of_term();
+    return self && self->can_act_on_term();
   };
   context.open_jobs = [weak] {
     const auto self = weak.lock();
@@ -112,7 +112,7 @@
   duties_ = inputs_.term_duties(context);
 }
 
-void Tenure::make_parts() {
+void TermSession::make_parts() {
   make_writer();
   make_dispatcher();
   announcer_ = std::make_shared<OrderAnnouncer>(inputs_.executor, inputs_.store, term_,
@@ -122,7 +122,7 @@
   scorer_ = std::make_unique<Scorer>(inputs_.forwarder, inputs_.routes, inputs_.directory,
                                      inputs_.time, inputs_.metrics, settings_.scorer);
   sweeper_ = std::make_unique<RecordSweeper>(inputs_.store, inputs_.jobs, term_, inputs_.metrics);
-  const std::weak_ptr<Tenure> weak = weak_from_this();
+  const std::weak_ptr<TermSession> weak = weak_from_this();
   index_ = std::make_unique<records::TableMirror>(
       inputs_.executor, inputs_.store, std::string(kIndexTable), std::string(kSubmissionPartition),
       [weak](const records::TableMirror::Records& records) {
--- a/src/jobs/term_writer.cpp
+++ b/src/jobs/term_writer.cpp
@@ -263,7 +263,7 @@
 void TermWriter::finish(const Batch& batch) {
   commits_.Increment();
   results_.Increment(static_cast<double>(batch.results.size()));
-  events_.Increment(static_cast<double>(batch.checkpoints.mark_safe()));
+  events_.Increment(static_cast<double>(batch.checkpoints.mark_durable()));
   listener_.on_confirmed(batch.sent_at);
   if (queue_.empty() && flushes_done_ < flushes_wanted_) {
     ++flushes_done_;
--- a/src/node/holder_sign.cpp
+++ b/src/node/holder_sign.cpp
@@ -11,26 +11,26 @@
   return node.value() + kSeparator + std::to_string(life);
 }
 
-jobs::HolderSign holder_sign(const std::string& holder, const wire::MemberMap& members) {
+jobs::HolderStatus holder_sign(const std::string& holder, const wire::MemberMap& members) {
   const std::size_t separator = holder.rfind(kSeparator);
   if (separator == std::string::npos) {
-    return jobs::HolderSign::kUnknown;
+    return jobs::HolderStatus::kUnknown;
   }
   const auto life = core::parse_number<std::uint64_t>(holder.substr(separator + 1));
   const auto known = members.find(core::NodeId(holder.substr(0, separator)));
   if (!life || known == members.end()) {
-    return jobs::HolderSign::kUnknown;
+    return jobs::HolderStatus::kUnknown;
   }
   const wire::Member& member = known->second;
   const std::uint64_t known_life = wire::life_of(member.incarnation);
   if (known_life > *life) {
-    return jobs::HolderSign::kEnded;
+    return jobs::HolderStatus::kEnded;
   }
   const bool is_in_doubt =
       member.state == wire::MemberState::kSuspect || member.state == wire::MemberState::kDead;
   // What is known of an earlier life says nothing of this one.
-  return known_life == *life && is_in_doubt ? jobs::HolderSign::kSuspect
-                                            : jobs::HolderSign::kUnknown;
+  return known_life == *life && is_in_doubt ? jobs::HolderStatus::kSuspect
+                                            : jobs::HolderStatus::kUnknown;
 }
 
 }  // namespace stoneport::node
--- a/src/node/holder_sign.hpp
+++ b/src/node/holder_sign.hpp
@@ -15,6 +15,6 @@
 std::string holder_name(const core::NodeId& node, std::uint64_t life);
 
 /// One machine runs one process, so a later life of a node ends its earlier ones.
-jobs::HolderSign holder_sign(const std::string& holder, const wire::MemberMap& members);
+jobs::HolderStatus holder_sign(const std::string& holder, const wire::MemberMap& members);
 
 }  // namespace stoneport::node
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -24,7 +24,7 @@
 #include "node/suspect_exchange.hpp"
 #include "node/suspect_rows.hpp"
 #include "node/zone_views.hpp"
-#include "records/store_watch.hpp"
+#include "records/store_monitor.hpp"
 #include "records/table_follower.hpp"
 #include "usage/usage_publisher.hpp"
 #include "usage/usage_reporter.hpp"
@@ -179,7 +179,7 @@
   ingress::SharedHealth shared_health_;
   HealthExchange health_exchange_;
   jobs::Coordinator coordinator_;
-  records::StoreWatch store_watch_;
+  records::StoreMonitor store_watch_;
   usage::UsagePublisher usage_publisher_;
   ingress::ColdCensus cold_census_;
   LoadMetrics load_metrics_;
--- a/src/records/store_watch.cpp
+++ b/src/records/store_monitor.cpp
@@ -1,6 +1,5 @@
-#include "records/store_watch.hpp"
-
 #include "core/decision_log.hpp"
+#include "records/store_monitor.hpp"
 #include "runtime/tasks.hpp"
 
 namespace stoneport::records {
@@ -11,8 +10,8 @@
 constexpr core::Duration kLongestSilence = std::chrono::milliseconds(2000);
 }  // namespace
 
-StoreWatch::StoreWatch(asio::any_io_executor executor, const ports::RecordStore& store,
-                       const core::TimeSource& time, core::Metrics& metrics)
+StoreMonitor::StoreMonitor(asio::any_io_executor executor, const ports::RecordStore& store,
+                           const core::TimeSource& time, core::Metrics& metrics)
     : executor_(std::move(executor)),
       store_(store),
       time_(time),
@@ -21,11 +20,11 @@
       losses_(metrics.counter("stoneport_store_losses_total",
                               "Times that the store stopped answering this process")) {}
 
-void StoreWatch::start() {
+void StoreMonitor::start() {
   runtime::start(executor_, "store watch", run());
 }
 
-void StoreWatch::check(core::MonotonicTime now) {
+void StoreMonitor::check(core::MonotonicTime now) {
   const core::Duration silence = now - store_.last_answer();
   silence_seconds_.Set(core::to_seconds(silence));
   const bool is_lost = silence > kLongestSilence;
@@ -42,7 +41,7 @@
   }
 }
 
-asio::awaitable<void> StoreWatch::run() {
+asio::awaitable<void> StoreMonitor::run() {
   while (true) {
     co_await runtime::sleep_for(kCheckInterval);
     check(time_.now());
--- a/src/records/store_watch.hpp
+++ b/src/records/store_monitor.hpp
@@ -11,11 +11,11 @@
 
 namespace stoneport::records {
 
-class StoreWatch {
+class StoreMonitor {
  public:
   /// All outlive the watch, which lives as long as the process.
-  StoreWatch(boost::asio::any_io_executor executor, const ports::RecordStore& store,
-             const core::TimeSource& time, core::Metrics& metrics);
+  StoreMonitor(boost::asio::any_io_executor executor, const ports::RecordStore& store,
+               const core::TimeSource& time, core::Metrics& metrics);
   void start();
 
  private:
--- a/src/records/table_follower.cpp
+++ b/src/records/table_follower.cpp
@@ -56,9 +56,9 @@
   struct Reread {
     std::string first_key;
     std::string next_key;
-    bool has_begun = false;    ///< a page has come: what changes from then on, the feed tells
-    bool has_wrapped = false;  ///< past the last key of the table
-    bool is_flooded = false;   ///< the feed has more to tell than can be followed until next_at
+    bool has_begun = false;      ///< a page has come: what changes from then on, the feed tells
+    bool has_wrapped = false;    ///< past the last key of the table
+    bool is_overloaded = false;  ///< the feed has more to tell than can be followed until next_at
     core::MonotonicTime next_at{};
   };
 
@@ -239,7 +239,7 @@
       answered = co_await list_page(state);
     } else if (state->reread && now >= state->reread->next_at) {
       answered = co_await reread_page(state);
-    } else if (state->reread && state->reread->is_flooded) {
+    } else if (state->reread && state->reread->is_overloaded) {
       co_await runtime::sleep_for(state->reread->next_at - now);
     } else if (quiet >= state->options.list_interval) {
       answered = co_await check_page(state);
@@ -351,7 +351,7 @@
     reread.has_begun = true;
     state->position = page->revision;
   }
-  reread.is_flooded = false;
+  reread.is_overloaded = false;
   const std::size_t bytes = bytes_of(page->records);
   state->note_page(page->records);
   const bool has_more = page->more && !page->records.empty();
@@ -414,7 +414,7 @@
   if (is_behind) {
     const bool was_reading_again = state->reread.has_value();
     state->read_again();
-    state->reread->is_flooded = was_reading_again;
+    state->reread->is_overloaded = was_reading_again;
     co_return true;
   }
   if (state->options.feed_interval > core::Duration(0)) {
--- a/tests/unit/jobs/coordinator_term_test.cpp
+++ b/tests/unit/jobs/coordinator_term_test.cpp
@@ -8,12 +8,12 @@
   CPPUNIT_TEST_SUITE(CoordinatorTermTest);
   CPPUNIT_TEST(another_process_takes_over_and_keeps_what_is_listed);
   CPPUNIT_TEST(a_new_holder_keeps_the_term_on_a_slow_store);
-  CPPUNIT_TEST(a_holder_whose_life_counts_as_over_keeps_its_term);
+  CPPUNIT_TEST(a_holder_reported_as_ended_keeps_its_term);
   CPPUNIT_TEST(a_deposed_coordinator_lists_nothing);
   CPPUNIT_TEST(a_planned_stop_hands_over_at_once);
   CPPUNIT_TEST(orders_of_two_holders_stay_apart);
-  CPPUNIT_TEST(nothing_starts_without_a_fresh_view_of_ends);
-  CPPUNIT_TEST(answers_that_are_read_late_are_no_fresh_view);
+  CPPUNIT_TEST(nothing_starts_on_a_stale_index);
+  CPPUNIT_TEST(answers_read_late_do_not_count_as_fresh);
   CPPUNIT_TEST_SUITE_END();
 
   void another_process_takes_over_and_keeps_what_is_listed() {
@@ -56,11 +56,11 @@
 
   /// Its clock was set back between two starts: the members know it by a later life than its
   /// name says.
-  void a_holder_whose_life_counts_as_over_keeps_its_term() {
+  void a_holder_reported_as_ended_keeps_its_term() {
     World world;
     World::Process second(world, "b", std::chrono::seconds(120), milliseconds(500));
     second.eligible = false;
-    second.sign = HolderSign::kEnded;
+    second.sign = HolderStatus::kEnded;
     world.run_for(milliseconds(50));
     World::Process first(world, "a", std::chrono::seconds(120), milliseconds(500));
     CPPUNIT_ASSERT(world.run_until([&] { return first.coordinator->holds_term(); }));
@@ -145,7 +145,7 @@
   }
 
   /// Found on 300 machines: an item began 10 s after its job's end was acknowledged.
-  void nothing_starts_without_a_fresh_view_of_ends() {
+  void nothing_starts_on_a_stale_index() {
     World world;
     World::Process process(world, "a");
     CPPUNIT_ASSERT(world.run_until([&] { return process.coordinator->holds_term(); }));
@@ -171,7 +171,7 @@
 
   /// Found on 300 machines: the coordinator fell behind and read its answers late; an item
   /// began 3.2 s after its job's end was acknowledged.
-  void answers_that_are_read_late_are_no_fresh_view() {
+  void answers_read_late_do_not_count_as_fresh() {
     World world;
     World::Process process(world, "a");
     CPPUNIT_ASSERT(world.run_until([&] { return process.coordinator->holds_term(); }));
--- a/tests/unit/jobs/coordinator_test.cpp
+++ b/tests/unit/jobs/coordinator_test.cpp
@@ -7,17 +7,17 @@
 
 class CoordinatorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CoordinatorTest);
-  CPPUNIT_TEST(jobs_become_whole_under_each_fault);
-  CPPUNIT_TEST(texts_go_on_where_they_were_cut);
+  CPPUNIT_TEST(jobs_complete_under_each_fault);
+  CPPUNIT_TEST(interrupted_texts_resume);
   CPPUNIT_TEST(a_silent_replica_loses_its_texts);
   CPPUNIT_TEST(items_that_cannot_be_done_are_terminated);
-  CPPUNIT_TEST(an_ended_job_is_left);
-  CPPUNIT_TEST(old_versions_make_no_text);
+  CPPUNIT_TEST(work_on_an_ended_job_stops);
+  CPPUNIT_TEST(texts_are_not_made_with_old_versions);
   CPPUNIT_TEST(records_of_old_jobs_are_removed);
   CPPUNIT_TEST(named_versions_reach_replicas_by_halves);
   CPPUNIT_TEST_SUITE_END();
 
-  void jobs_become_whole_under_each_fault() {
+  void jobs_complete_under_each_fault() {
     struct Case {
       std::string name;
       std::function<void(World&)> fault;
@@ -58,7 +58,7 @@
     }
   }
 
-  void texts_go_on_where_they_were_cut() {
+  void interrupted_texts_resume() {
     World world;
     world.replicas.text_length = 6;
     for (auto& [id, replica] : world.replicas.replicas) {
@@ -98,7 +98,7 @@
     }
   }
 
-  void an_ended_job_is_left() {
+  void work_on_an_ended_job_stops() {
     World world;
     world.replicas.text_length = 200;
     World::Process process(world, "a");
@@ -112,7 +112,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{8}, world.replicas.starts.size());
   }
 
-  void old_versions_make_no_text() {
+  void texts_are_not_made_with_old_versions() {
     World world;
     world.parser.oldest_version = core::WeightVersion(2);
     // One has the version that the listing promises; two lag behind it.
--- a/tests/unit/jobs/coordinator_world.hpp
+++ b/tests/unit/jobs/coordinator_world.hpp
@@ -57,24 +57,24 @@
   struct Process {
     Process(World& world, const std::string& name,
             core::Duration retention = std::chrono::seconds(120),
-            core::Duration take_over_after = milliseconds(60))
+            core::Duration takeover_after = milliseconds(60))
         : store(world.store), directory(world.zone_regions), jobs(store, world.time, metrics) {
       CoordinatorSettings settings;
       settings.term.holder = name;
       settings.region = world.region;
-      settings.shortest_stay = milliseconds(20);
-      settings.patience_with_others = milliseconds(400);
+      settings.min_term_duration = milliseconds(20);
+      settings.foreign_term_silence = milliseconds(400);
       settings.retention = retention;
       settings.sweep_interval = milliseconds(50);
       settings.writer.heartbeat_interval = milliseconds(10);
       settings.writer.checkpoint_interval = milliseconds(20);
-      settings.term.take_over_after = take_over_after;
+      settings.term.takeover_after = takeover_after;
       settings.term.bid_spread = milliseconds(5);
       settings.term.tick = milliseconds(5);
       settings.term.feed_interval = milliseconds(5);
       settings.term.longest_gap = milliseconds(2000);
       settings.tick = milliseconds(5);
-      settings.dispatcher.shortest_silence = milliseconds(60);
+      settings.dispatcher.min_silence = milliseconds(60);
       settings.order_pause = world.order_pause;
       settings.dispatcher.suspicion = milliseconds(200);
       settings.dispatcher.fair_steps = world.fair_steps;
@@ -96,7 +96,7 @@
                                [this](const std::string&) { return sign; },
                                world.time,
                                metrics,
-                               [this] { return belongs_elsewhere; }};
+                               [this] { return is_preferred_elsewhere; }};
       coordinator = std::make_unique<Coordinator>(std::move(inputs), settings, 7);
       coordinator->start();
     }
@@ -108,8 +108,8 @@
     std::unique_ptr<ingress::Forwarder> forwarder;
     std::unique_ptr<Coordinator> coordinator;
     bool eligible = true;
-    HolderSign sign = HolderSign::kUnknown;  ///< what the members say of any holder
-    bool belongs_elsewhere = false;
+    HolderStatus sign = HolderStatus::kUnknown;  ///< what the members say of any holder
+    bool is_preferred_elsewhere = false;
   };
 
   World() {
--- a/tests/unit/jobs/evacuation_test.cpp
+++ b/tests/unit/jobs/evacuation_test.cpp
@@ -7,9 +7,9 @@
 
 class EvacuationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EvacuationTest);
-  CPPUNIT_TEST(texts_under_way_end_and_none_begins);
-  CPPUNIT_TEST(a_broken_text_goes_on_elsewhere);
-  CPPUNIT_TEST(no_order_and_no_report_goes_there);
+  CPPUNIT_TEST(running_texts_finish_and_no_new_ones_start);
+  CPPUNIT_TEST(a_broken_text_resumes_in_another_zone);
+  CPPUNIT_TEST(evacuated_replicas_get_no_orders_or_reports);
   CPPUNIT_TEST(with_all_zones_evacuated_items_wait);
   CPPUNIT_TEST_SUITE_END();
 
@@ -43,7 +43,7 @@
     std::uint64_t revision = 0;
   };
 
-  void texts_under_way_end_and_none_begins() {
+  void running_texts_finish_and_no_new_ones_start() {
     Zones zones;
     World& world = zones.world;
     for (auto& [id, replica] : world.replicas.replicas) {
@@ -60,7 +60,7 @@
     world.check("evacuated", world.results(*zones.process, "job"));
   }
 
-  void a_broken_text_goes_on_elsewhere() {
+  void a_broken_text_resumes_in_another_zone() {
     Zones zones;
     World& world = zones.world;
     world.replicas.text_length = 40;
@@ -79,7 +79,7 @@
     world.check("moved", world.results(*zones.process, "job"));
   }
 
-  void no_order_and_no_report_goes_there() {
+  void evacuated_replicas_get_no_orders_or_reports() {
     Zones zones;
     World& world = zones.world;
     world.replicas.replicas["m0"].lose_orders = 1;
--- a/tests/unit/jobs/fair_steps_test.cpp
+++ b/tests/unit/jobs/fair_steps_test.cpp
@@ -6,8 +6,8 @@
 
 class FairStepsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FairStepsTest);
-  CPPUNIT_TEST(jobs_that_are_late_are_made_whole_all_the_same);
-  CPPUNIT_TEST(jobs_that_go_on_after_a_take_over_are_made_whole);
+  CPPUNIT_TEST(late_jobs_are_completed);
+  CPPUNIT_TEST(jobs_are_completed_after_a_takeover);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr int kItems = 24;
@@ -25,7 +25,7 @@
     });
   }
 
-  void jobs_that_are_late_are_made_whole_all_the_same() {
+  void late_jobs_are_completed() {
     World world;
     world.fair_steps = true;
     set_deadline(world, milliseconds(1));
@@ -42,7 +42,7 @@
                        "stoneport_steps_ended_total{result=\"missed\"}") != std::string::npos);
   }
 
-  void jobs_that_go_on_after_a_take_over_are_made_whole() {
+  void jobs_are_completed_after_a_takeover() {
     World world;
     world.fair_steps = true;
     set_deadline(world, milliseconds(200));
--- a/tests/unit/jobs/faster_replicas_test.cpp
+++ b/tests/unit/jobs/faster_replicas_test.cpp
@@ -7,11 +7,11 @@
 class FasterReplicasTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FasterReplicasTest);
   CPPUNIT_TEST(a_long_text_leaves_a_slow_replica);
-  CPPUNIT_TEST(a_text_that_is_moved_blames_no_replica);
-  CPPUNIT_TEST(a_text_whose_first_event_takes_long_is_made);
-  CPPUNIT_TEST(a_text_stays_while_ends_are_unknown);
-  CPPUNIT_TEST(an_item_that_comes_back_begins_by_its_known_length);
-  CPPUNIT_TEST(long_texts_of_a_younger_job_go_before_short_ones);
+  CPPUNIT_TEST(moving_a_text_does_not_penalize_its_replica);
+  CPPUNIT_TEST(a_text_whose_first_event_takes_long_is_completed);
+  CPPUNIT_TEST(no_text_is_moved_while_the_index_is_stale);
+  CPPUNIT_TEST(a_resubmitted_item_is_ordered_by_its_known_length);
+  CPPUNIT_TEST(long_texts_of_a_younger_job_start_before_short_ones);
   CPPUNIT_TEST_SUITE_END();
 
   /// A world in which the law of lengths and the speeds are known, and all replicas but
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT(start.world.replicas.most_running_at_once <= 1);
   }
 
-  void a_text_that_is_moved_blames_no_replica() {
+  void moving_a_text_does_not_penalize_its_replica() {
     SlowStart start;
     const ingress::ReplicaPointer slow = start.process.directory.find(core::ReplicaId("m0"));
     start.world.submit(start.process, "job", 2);
@@ -68,7 +68,7 @@
   }
 
   /// Several times as long as a text is left at a silent replica, wherever it goes.
-  void a_text_whose_first_event_takes_long_is_made() {
+  void a_text_whose_first_event_takes_long_is_completed() {
     World world;
     World::Process process(world, "a");
     for (auto& [id, replica] : world.replicas.replicas) {
@@ -80,7 +80,7 @@
   }
 
   /// Without a fresh view of ends no text may be begun, so none is taken from where it is.
-  void a_text_stays_while_ends_are_unknown() {
+  void no_text_is_moved_while_the_index_is_stale() {
     SlowStart start;
     start.world.submit(start.process, "job", 1);
     CPPUNIT_ASSERT(start.world.run_until([&] { return !start.world.replicas.starts.empty(); }));
@@ -98,7 +98,7 @@
         start.world.run_until([&] { return start.world.is_whole(start.process, "job", 1); }));
   }
 
-  void an_item_that_comes_back_begins_by_its_known_length() {
+  void a_resubmitted_item_is_ordered_by_its_known_length() {
     World world;
     World::Process process(world, "a");
     world.replicas.text_length = 5;
@@ -122,7 +122,7 @@
     CPPUNIT_ASSERT((first == std::set<std::string>{"again.0", "again.1", "again.2"}));
   }
 
-  void long_texts_of_a_younger_job_go_before_short_ones() {
+  void long_texts_of_a_younger_job_start_before_short_ones() {
     World world;
     World::Process process(world, "a");
     world.replicas.text_length = 20;
--- a/tests/unit/jobs/job_records_test.cpp
+++ b/tests/unit/jobs/job_records_test.cpp
@@ -13,7 +13,7 @@
   CPPUNIT_TEST_SUITE(JobRecordsTest);
   CPPUNIT_TEST(results_are_read_back_in_any_number_of_chunks);
   CPPUNIT_TEST(a_gap_or_a_missing_chunk_ends_the_list);
-  CPPUNIT_TEST(index_tells_ended_jobs);
+  CPPUNIT_TEST(index_marks_ended_jobs);
   CPPUNIT_TEST(malformed_index_records_are_counted);
   CPPUNIT_TEST(texts_are_restored_from_overlapping_checkpoints);
   CPPUNIT_TEST_SUITE_END();
@@ -71,7 +71,7 @@
     CPPUNIT_ASSERT(decode_results("another", 0, records).empty());
   }
 
-  void index_tells_ended_jobs() {
+  void index_marks_ended_jobs() {
     JobIndexEntry entry;
     entry.host = "host.example";
     entry.path = "/path/";
--- a/tests/unit/jobs/job_regions_test.cpp
+++ b/tests/unit/jobs/job_regions_test.cpp
@@ -8,9 +8,9 @@
 class JobRegionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(JobRegionsTest);
   CPPUNIT_TEST(texts_and_rating_calls_stay_in_the_regions_of_their_routes);
-  CPPUNIT_TEST(a_coordinator_elsewhere_leaves_bound_jobs_alone);
-  CPPUNIT_TEST(a_coordinator_elsewhere_hands_the_term_over);
-  CPPUNIT_TEST(a_process_elsewhere_bids_when_no_other_does);
+  CPPUNIT_TEST(a_coordinator_outside_the_region_skips_bound_jobs);
+  CPPUNIT_TEST(a_coordinator_outside_the_region_hands_over_its_term);
+  CPPUNIT_TEST(a_process_outside_the_region_bids_when_no_other_does);
   CPPUNIT_TEST_SUITE_END();
 
   inline static const core::RegionName kWest{"west"};
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT_EQUAL(1000, world.replicas.replicas["r0"].fail);
   }
 
-  void a_coordinator_elsewhere_leaves_bound_jobs_alone() {
+  void a_coordinator_outside_the_region_skips_bound_jobs() {
     World world;
     divide(world);
     world.bind_routes({kWest}, false);
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT(world.replicas.starts.empty());
   }
 
-  void a_coordinator_elsewhere_hands_the_term_over() {
+  void a_coordinator_outside_the_region_hands_over_its_term() {
     World world;
     divide(world);
     world.bind_routes({kWest}, false);
@@ -64,7 +64,7 @@
     world.region = kWest;
     World::Process west(world, "b");
     world.submit(west, "job", 4);
-    east.belongs_elsewhere = true;
+    east.is_preferred_elsewhere = true;
     const bool whole = world.run_until([&] {
       east.coordinator->on_inputs_changed();
       return world.is_whole(west, "job", 4);
@@ -74,12 +74,12 @@
     CPPUNIT_ASSERT(!east.coordinator->holds_term());
   }
 
-  void a_process_elsewhere_bids_when_no_other_does() {
+  void a_process_outside_the_region_bids_when_no_other_does() {
     World world;
     divide(world);
     world.region = kEast;
     World::Process east(world, "a");
-    east.belongs_elsewhere = true;
+    east.is_preferred_elsewhere = true;
     world.run_for(milliseconds(150));
     CPPUNIT_ASSERT(!east.coordinator->holds_term());
     CPPUNIT_ASSERT(world.run_until([&] { return east.coordinator->holds_term(); }));
--- a/tests/unit/jobs/job_store_test.cpp
+++ b/tests/unit/jobs/job_store_test.cpp
@@ -14,21 +14,21 @@
 
 class JobStoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(JobStoreTest);
-  CPPUNIT_TEST(acceptance_is_durable_or_says_what_it_is);
-  CPPUNIT_TEST(a_job_is_taken_once);
-  CPPUNIT_TEST(a_refused_job_never_comes_to_be);
+  CPPUNIT_TEST(acceptance_reports_whether_it_is_durable);
+  CPPUNIT_TEST(a_job_is_accepted_once);
+  CPPUNIT_TEST(a_refused_job_never_exists);
   CPPUNIT_TEST(a_lost_store_is_not_waited_for);
-  CPPUNIT_TEST(large_bodies_come_back_whole);
-  CPPUNIT_TEST(an_older_state_is_never_an_answer);
-  CPPUNIT_TEST(unknown_jobs_are_told_from_an_unsure_store);
-  CPPUNIT_TEST(an_end_is_acknowledged_as_often_as_it_comes);
-  CPPUNIT_TEST(another_tenant_learns_nothing_of_a_job);
+  CPPUNIT_TEST(large_bodies_are_read_back_unchanged);
+  CPPUNIT_TEST(stale_reads_are_never_returned);
+  CPPUNIT_TEST(unknown_jobs_are_distinguished_from_an_unavailable_store);
+  CPPUNIT_TEST(ending_a_job_is_idempotent);
+  CPPUNIT_TEST(a_job_is_hidden_from_other_tenants);
   CPPUNIT_TEST(records_without_a_tenant_are_read_as_before);
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
     World() {
-      settings.patience = std::chrono::milliseconds(60);
+      settings.call_timeout = std::chrono::milliseconds(60);
       settings.retry_pause = std::chrono::milliseconds(5);
       jobs = std::make_unique<JobStore>(store, time, metrics, settings);
     }
@@ -48,7 +48,7 @@
     std::unique_ptr<JobStore> jobs;
   };
 
-  void acceptance_is_durable_or_says_what_it_is() {
+  void acceptance_reports_whether_it_is_durable() {
     struct Case {
       std::string name;
       std::function<void(support::FakeRecordStore&)> fault;
@@ -76,7 +76,7 @@
     }
   }
 
-  void a_job_is_taken_once() {
+  void a_job_is_accepted_once() {
     World world;
     world.store.faults.act_late = 1;
     CPPUNIT_ASSERT(world.accept("job", "first").has_value());
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("first"), bodies.begin()->second);
   }
 
-  void a_refused_job_never_comes_to_be() {
+  void a_refused_job_never_exists() {
     // A write held back may be done later: only "unknown" may be told then.
     World world;
     world.store.faults.act_late = 1000;
@@ -102,8 +102,8 @@
   void a_lost_store_is_not_waited_for() {
     for (const bool is_lost : {false, true}) {
       World world;
-      world.settings.patience = std::chrono::milliseconds(700);
-      world.settings.patience_when_lost = std::chrono::milliseconds(100);
+      world.settings.call_timeout = std::chrono::milliseconds(700);
+      world.settings.call_timeout_when_lost = std::chrono::milliseconds(100);
       world.jobs =
           std::make_unique<JobStore>(world.store, world.time, world.metrics, world.settings);
       world.store.faults.down = true;
@@ -118,7 +118,7 @@
     }
   }
 
-  void large_bodies_come_back_whole() {
+  void large_bodies_are_read_back_unchanged() {
     World world;
     world.store.store_limits.record_bytes = 100;
     world.store.page_size = 3;
@@ -150,7 +150,7 @@
     CPPUNIT_ASSERT(half.store.table(kIndexTable).empty());
   }
 
-  void an_older_state_is_never_an_answer() {
+  void stale_reads_are_never_returned() {
     World world;
     world.store.freeze_reads();
     CPPUNIT_ASSERT(world.accept("job").has_value());
@@ -163,7 +163,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, read->total);
   }
 
-  void unknown_jobs_are_told_from_an_unsure_store() {
+  void unknown_jobs_are_distinguished_from_an_unavailable_store() {
     World world;
     const auto unknown = world.run(world.jobs->read({}, "job", 0, core::Duration(0)));
     CPPUNIT_ASSERT(!unknown && unknown.error().code == ErrorCode::kNotFound);
@@ -174,7 +174,7 @@
     CPPUNIT_ASSERT(!bad_name && bad_name.error().code == ErrorCode::kNotFound);
   }
 
-  void an_end_is_acknowledged_as_often_as_it_comes() {
+  void ending_a_job_is_idempotent() {
     World world;
     const auto unknown = world.run(world.jobs->end({}, "job"));
     CPPUNIT_ASSERT(!unknown && unknown.error().code == ErrorCode::kNotFound);
@@ -188,7 +188,7 @@
     CPPUNIT_ASSERT(!unsure && unsure.error().code == ErrorCode::kUnavailable);
   }
 
-  void another_tenant_learns_nothing_of_a_job() {
+  void a_job_is_hidden_from_other_tenants() {
     const core::TenantName north("north");
     const core::TenantName south("south");
     const core::TenantName nobody;
--- a/tests/unit/jobs/length_law_test.cpp
+++ b/tests/unit/jobs/length_estimator_test.cpp
@@ -1,28 +1,28 @@
 /// \file
 /// How long texts are expected to be, from guesses, whole texts and earlier attempts.
-#include "jobs/length_law.hpp"
+#include "jobs/length_estimator.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "jobs/known_lengths.hpp"
+#include "jobs/length_history.hpp"
 
 namespace stoneport::jobs {
 
-class LengthLawTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LengthLawTest);
-  CPPUNIT_TEST(without_whole_texts_guesses_rank);
-  CPPUNIT_TEST(guesses_are_corrected_by_whole_texts);
+class LengthEstimatorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LengthEstimatorTest);
+  CPPUNIT_TEST(guesses_rank_texts_before_any_completes);
+  CPPUNIT_TEST(guesses_are_corrected_by_complete_texts);
   CPPUNIT_TEST(a_text_that_outlasts_its_guess_has_more_to_come);
   CPPUNIT_TEST(the_mean_lies_above_the_median_and_below_long_texts);
-  CPPUNIT_TEST(earlier_attempts_tell);
-  CPPUNIT_TEST(known_lengths_keep_what_tells_more);
-  CPPUNIT_TEST(known_lengths_are_bounded);
+  CPPUNIT_TEST(earlier_attempts_improve_the_estimate);
+  CPPUNIT_TEST(history_keeps_the_more_informative_length);
+  CPPUNIT_TEST(history_is_bounded);
   CPPUNIT_TEST_SUITE_END();
 
   /// Guesses are in units of which 50 make an event, right in the median, off by a factor
   /// of 1.5 either way.
-  static LengthLaw law() {
-    LengthLaw law;
+  static LengthEstimator law() {
+    LengthEstimator law;
     for (int round = 0; round < 40; ++round) {
       law.note_whole(1000, 20);
       law.note_whole(1000, 30);
@@ -31,20 +31,20 @@
     return law;
   }
 
-  void without_whole_texts_guesses_rank() {
-    const LengthLaw law;
+  void guesses_rank_texts_before_any_completes() {
+    const LengthEstimator law;
     CPPUNIT_ASSERT(!law.is_known());
-    CPPUNIT_ASSERT(law.expected_rest({.guess = 200}) > law.expected_rest({.guess = 100}));
-    CPPUNIT_ASSERT(law.expected_rest({.guess = 100, .seen = 500}) >
-                   law.expected_rest({.guess = 200}));
-    CPPUNIT_ASSERT(law.expected_rest({}) > 0);
+    CPPUNIT_ASSERT(law.median_remaining({.guess = 200}) > law.median_remaining({.guess = 100}));
+    CPPUNIT_ASSERT(law.median_remaining({.guess = 100, .seen = 500}) >
+                   law.median_remaining({.guess = 200}));
+    CPPUNIT_ASSERT(law.median_remaining({}) > 0);
   }
 
-  void guesses_are_corrected_by_whole_texts() {
+  void guesses_are_corrected_by_complete_texts() {
     CPPUNIT_ASSERT(law().is_known());
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(20, law().expected_rest({.guess = 1000}), 2);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(100, law().expected_rest({.guess = 5000}), 10);
-    LengthLaw unchanged;
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(20, law().median_remaining({.guess = 1000}), 2);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(100, law().median_remaining({.guess = 5000}), 10);
+    LengthEstimator unchanged;
     unchanged.note_whole(1000, 0);
     CPPUNIT_ASSERT(!unchanged.is_known());
   }
@@ -53,14 +53,16 @@
     for (const std::uint64_t made : {0u, 10u, 20u, 30u, 150u}) {
       const LengthEvidence evidence{.guess = 1000, .made = made};
       const std::string about = std::to_string(made);
-      CPPUNIT_ASSERT_MESSAGE(about, law().mean_rest(evidence) >= law().expected_rest(evidence));
-      CPPUNIT_ASSERT_MESSAGE(about, law().long_rest(evidence) >= law().mean_rest(evidence));
+      CPPUNIT_ASSERT_MESSAGE(about,
+                             law().mean_remaining(evidence) >= law().median_remaining(evidence));
+      CPPUNIT_ASSERT_MESSAGE(about,
+                             law().p90_remaining(evidence) >= law().mean_remaining(evidence));
     }
-    CPPUNIT_ASSERT(law().mean_rest({.guess = 1000}) > law().expected_rest({.guess = 1000}));
+    CPPUNIT_ASSERT(law().mean_remaining({.guess = 1000}) > law().median_remaining({.guess = 1000}));
     // A length that is known is the same in all.
     const LengthEvidence told{.guess = 1000, .made = 10, .seen = 25, .seen_whole = true};
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(15, law().mean_rest(told), 0.01);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(15, law().long_rest(told), 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(15, law().mean_remaining(told), 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(15, law().p90_remaining(told), 0.01);
   }
 
   void a_text_that_outlasts_its_guess_has_more_to_come() {
@@ -78,39 +80,39 @@
         {"no guess", {.guess = 0, .made = 40}, 4, 5},
     };
     for (const Case& one : cases) {
-      const double rest = law().expected_rest(one.evidence);
+      const double rest = law().median_remaining(one.evidence);
       CPPUNIT_ASSERT_MESSAGE(one.name + " " + std::to_string(rest),
                              rest >= one.least && rest <= one.most);
     }
   }
 
-  void earlier_attempts_tell() {
+  void earlier_attempts_improve_the_estimate() {
     const LengthEvidence whole{.guess = 1000, .made = 0, .seen = 160, .seen_whole = true};
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(160, law().expected_rest(whole), 0.1);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(160, law().median_remaining(whole), 0.1);
     const LengthEvidence half{.guess = 1000, .made = 60, .seen = 160, .seen_whole = true};
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(100, law().expected_rest(half), 0.1);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(100, law().median_remaining(half), 0.1);
     const LengthEvidence at_least{.guess = 1000, .made = 0, .seen = 100};
-    CPPUNIT_ASSERT(law().expected_rest(at_least) >= 100);
+    CPPUNIT_ASSERT(law().median_remaining(at_least) >= 100);
     // What is there already tells more than a shorter text that was said to be whole.
     const LengthEvidence wrong{.guess = 1000, .made = 60, .seen = 10, .seen_whole = true};
-    CPPUNIT_ASSERT(law().expected_rest(wrong) >= 6);
+    CPPUNIT_ASSERT(law().median_remaining(wrong) >= 6);
   }
 
-  void known_lengths_keep_what_tells_more() {
-    KnownLengths lengths;
+  void history_keeps_the_more_informative_length() {
+    LengthHistory lengths;
     CPPUNIT_ASSERT(!lengths.find("a"));
     lengths.note("a", {0, false});
     CPPUNIT_ASSERT(!lengths.find("a"));
     lengths.note("a", {40, false});
     lengths.note("a", {30, false});
-    CPPUNIT_ASSERT(lengths.find("a") == (SeenLength{40, false}));
+    CPPUNIT_ASSERT(lengths.find("a") == (ObservedLength{40, false}));
     lengths.note("a", {35, true});
     lengths.note("a", {50, false});
-    CPPUNIT_ASSERT(lengths.find("a") == (SeenLength{35, true}));
+    CPPUNIT_ASSERT(lengths.find("a") == (ObservedLength{35, true}));
   }
 
-  void known_lengths_are_bounded() {
-    KnownLengths lengths(3);
+  void history_is_bounded() {
+    LengthHistory lengths(3);
     for (const std::string item : {"a", "b", "c", "b", "d"}) {
       lengths.note(item, {5, true});
     }
@@ -120,6 +122,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LengthLawTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LengthEstimatorTest);
 
 }  // namespace stoneport::jobs
--- a/tests/unit/jobs/open_job_test.cpp
+++ b/tests/unit/jobs/open_job_test.cpp
@@ -11,12 +11,12 @@
 class OpenJobTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OpenJobTest);
   CPPUNIT_TEST(jobs_rank_by_their_routes_priority);
-  CPPUNIT_TEST(a_tenants_priority_goes_before_its_routes);
-  CPPUNIT_TEST(the_longest_rest_begins_first);
-  CPPUNIT_TEST(what_is_due_sooner_or_takes_longer_begins_first);
-  CPPUNIT_TEST(groups_that_are_not_waited_for_begin_last);
-  CPPUNIT_TEST(of_a_step_behind_the_group_that_lacks_least_begins_first);
-  CPPUNIT_TEST(work_left_is_that_of_the_groups_that_lack_least);
+  CPPUNIT_TEST(a_tenants_priority_overrides_its_routes);
+  CPPUNIT_TEST(the_longest_remaining_text_starts_first);
+  CPPUNIT_TEST(earlier_due_or_longer_texts_start_first);
+  CPPUNIT_TEST(unneeded_groups_start_last);
+  CPPUNIT_TEST(a_deferred_step_starts_its_most_complete_group_first);
+  CPPUNIT_TEST(remaining_work_counts_the_most_complete_groups);
   CPPUNIT_TEST_SUITE_END();
 
   static OpenJob job(const ingress::Route* route, int accepted_s,
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT(rank_of(job(nullptr, 1, {})) > rank_of(job(&second, 2, {})));
   }
 
-  void a_tenants_priority_goes_before_its_routes() {
+  void a_tenants_priority_overrides_its_routes() {
     ingress::Route route;
     route.priority = 3;
     const auto tenant = [](const std::string& name, std::optional<std::uint32_t> priority) {
@@ -65,20 +65,20 @@
     CPPUNIT_ASSERT_EQUAL(3u, rank(""));
   }
 
-  void the_longest_rest_begins_first() {
-    const LengthLaw law;
+  void the_longest_remaining_text_starts_first() {
+    const LengthEstimator law;
     OpenJob made = job(nullptr, 0, {10, 40, 20, 40, 30});
-    made.items[2].seen = SeenLength{160, false};
+    made.items[2].seen = ObservedLength{160, false};
     made.order_is_stale = true;
     made.make_start_order(law);
     CPPUNIT_ASSERT(!made.order_is_stale);
     CPPUNIT_ASSERT((made.start_order == std::vector<std::size_t>{2, 1, 3, 4, 0}));
   }
 
-  void what_is_due_sooner_or_takes_longer_begins_first() {
+  void earlier_due_or_longer_texts_start_first() {
     ingress::Route route;
     route.run_deadline = milliseconds(7500);
-    const LengthLaw law;
+    const LengthEstimator law;
     const core::Duration gap = milliseconds(40);
     const OpenJob older = job(&route, 1, {10, 100});
     const OpenJob younger = job(&route, 2, {10, 100});
@@ -101,39 +101,39 @@
     return made;
   }
 
-  void groups_that_are_not_waited_for_begin_last() {
+  void unneeded_groups_start_last() {
     OpenJob made = three_groups();
     made.set_order(StartOrder::kWantedFirst);
     CPPUNIT_ASSERT(made.order_is_stale);
-    made.make_start_order(LengthLaw());
+    made.make_start_order(LengthEstimator());
     CPPUNIT_ASSERT((made.start_order == std::vector<std::size_t>{4, 1, 5, 0, 3, 2}));
   }
 
-  void of_a_step_behind_the_group_that_lacks_least_begins_first() {
+  void a_deferred_step_starts_its_most_complete_group_first() {
     OpenJob made = three_groups();
     made.set_order(StartOrder::kByGroup);
-    made.make_start_order(LengthLaw());
+    made.make_start_order(LengthEstimator());
     CPPUNIT_ASSERT((made.start_order == std::vector<std::size_t>{1, 0, 4, 5, 3, 2}));
     made.items[3].state = ItemState::kListed;
     made.items[2].state = ItemState::kScoring;
-    made.make_start_order(LengthLaw());
+    made.make_start_order(LengthEstimator());
     CPPUNIT_ASSERT((made.start_order == std::vector<std::size_t>{3, 2, 1, 0, 4, 5}));
   }
 
-  void work_left_is_that_of_the_groups_that_lack_least() {
+  void remaining_work_counts_the_most_complete_groups() {
     OpenJob made = three_groups();
-    const LengthLaw law;
-    StepWork work = made.work_left(law);
+    const LengthEstimator law;
+    StepWork work = made.remaining_work(law);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(80, work.rest, 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(30, work.longest, 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0, work.whole_share, 0.01);
     made.items[2].state = ItemState::kListed;
     made.items[3].state = ItemState::kReady;
-    work = made.work_left(law);
+    work = made.remaining_work(law);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(30, work.rest, 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, work.whole_share, 0.01);
     made.job.wanted_groups = 0;  // all
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(80, made.work_left(law).rest, 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(80, made.remaining_work(law).rest, 0.01);
   }
 };
 
--- a/tests/unit/jobs/order_announcer_test.cpp
+++ b/tests/unit/jobs/order_announcer_test.cpp
@@ -13,7 +13,7 @@
   CPPUNIT_TEST_SUITE(OrderAnnouncerTest);
   CPPUNIT_TEST(many_announcements_are_few_transactions);
   CPPUNIT_TEST(nothing_is_announced_without_the_term);
-  CPPUNIT_TEST(a_store_that_refuses_settles_all);
+  CPPUNIT_TEST(a_failed_write_fails_all_its_announcements);
   CPPUNIT_TEST(lives_of_a_replica_are_announced_under_its_name);
   CPPUNIT_TEST_SUITE_END();
 
@@ -89,7 +89,7 @@
     CPPUNIT_ASSERT(store_.table(kOrderTable).empty());
   }
 
-  void a_store_that_refuses_settles_all() {
+  void a_failed_write_fails_all_its_announcements() {
     const Term term = begin_term();
     store_.faults.down = true;
     announce(term, 150);
--- a/tests/unit/jobs/placement_test.cpp
+++ b/tests/unit/jobs/placement_test.cpp
@@ -14,8 +14,8 @@
   CPPUNIT_TEST_SUITE(PlacementTest);
   CPPUNIT_TEST(texts_go_where_events_are_fastest);
   CPPUNIT_TEST(long_texts_get_the_emptiest_of_like_replicas);
-  CPPUNIT_TEST(moves_are_made_when_they_pay);
-  CPPUNIT_TEST(speeds_tell_load_and_replica_apart);
+  CPPUNIT_TEST(moves_are_made_when_worth_their_cost);
+  CPPUNIT_TEST(speeds_separate_load_from_replica_speed);
   CPPUNIT_TEST(speeds_follow_a_change_and_are_forgotten);
   CPPUNIT_TEST_SUITE_END();
 
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, *place_item(unlike, milliseconds(50), text, {}));
   }
 
-  void moves_are_made_when_they_pay() {
+  void moves_are_made_when_worth_their_cost() {
     struct Case {
       std::string name;
       double rest;
@@ -128,7 +128,7 @@
     }
   }
 
-  void speeds_tell_load_and_replica_apart() {
+  void speeds_separate_load_from_replica_speed() {
     ReplicaSpeedSettings settings;
     settings.slowdown.prior = 0.2;
     ReplicaSpeeds speeds(settings);
--- a/tests/unit/jobs/rating_share_test.cpp
+++ b/tests/unit/jobs/rating_quota_test.cpp
@@ -2,7 +2,7 @@
 /// Which places rating calls get while clients crowd their service of 36 places, whose calls take
 /// 200 ms: the share rises as the due time nears, falls back when there is slack, and neither
 /// ratings nor clients starve.
-#include "jobs/rating_share.hpp"
+#include "jobs/rating_quota.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -12,15 +12,15 @@
 
 using std::chrono::milliseconds;
 
-class RatingShareTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(RatingShareTest);
-  CPPUNIT_TEST(the_share_follows_from_the_work_that_is_due);
-  CPPUNIT_TEST(the_share_rises_as_the_due_time_nears_and_falls_back);
-  CPPUNIT_TEST(the_nearer_of_two_steps_counts);
+class RatingQuotaTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RatingQuotaTest);
+  CPPUNIT_TEST(the_quota_follows_from_the_work_that_is_due);
+  CPPUNIT_TEST(the_quota_rises_as_the_due_time_nears_and_falls_back);
+  CPPUNIT_TEST(the_step_due_first_determines_the_quota);
   CPPUNIT_TEST(a_step_is_rated_in_time_and_clients_get_the_rest);
   CPPUNIT_TEST(a_step_is_rated_in_time_though_half_of_the_replicas_fall_silent);
   CPPUNIT_TEST(steps_that_cannot_be_met_leave_places_to_clients);
-  CPPUNIT_TEST(texts_go_by_rank_then_by_due_time);
+  CPPUNIT_TEST(texts_are_ordered_by_rank_then_due_time);
   CPPUNIT_TEST(a_service_is_crowded_by_what_it_refuses);
   CPPUNIT_TEST_SUITE_END();
 
@@ -30,10 +30,10 @@
   static constexpr RatingService kService{kPlaces, kUsual, kCallTime};
 
   static std::uint32_t places_for(std::size_t texts, core::Duration left) {
-    return places_for_ratings(kService, std::vector<core::Duration>(texts, left));
+    return rating_quota(kService, std::vector<core::Duration>(texts, left));
   }
 
-  void the_share_follows_from_the_work_that_is_due() {
+  void the_quota_follows_from_the_work_that_is_due() {
     struct Case {
       std::size_t texts;
       core::Duration left;
@@ -62,7 +62,7 @@
     }
   }
 
-  void the_share_rises_as_the_due_time_nears_and_falls_back() {
+  void the_quota_rises_as_the_due_time_nears_and_falls_back() {
     for (const std::size_t texts : {20, 100, 300}) {
       std::uint32_t before = 0;
       for (core::Duration left = milliseconds(30'000); left >= milliseconds(2000);
@@ -78,10 +78,10 @@
   }
 
   /// 20 texts due in 400 ms beside 300 that have 20 s.
-  void the_nearer_of_two_steps_counts() {
+  void the_step_due_first_determines_the_quota() {
     std::vector<core::Duration> time_left(20, milliseconds(400));
     time_left.insert(time_left.end(), 300, milliseconds(20'000));
-    CPPUNIT_ASSERT_EQUAL(20u, places_for_ratings(kService, time_left));
+    CPPUNIT_ASSERT_EQUAL(20u, rating_quota(kService, time_left));
   }
 
   struct Played {
@@ -98,8 +98,7 @@
     for (core::Duration left = due; left >= kCallTime; left -= kCallTime) {
       const std::uint32_t places = places_in(round++);
       const RatingService service{places, places * 2 / 5, kCallTime};
-      const std::uint32_t may =
-          places_for_ratings(service, std::vector<core::Duration>(texts, left));
+      const std::uint32_t may = rating_quota(service, std::vector<core::Duration>(texts, left));
       CPPUNIT_ASSERT(may <= places);
       const auto used = static_cast<std::uint32_t>(std::min<std::size_t>(may, texts));
       texts -= used;
@@ -136,15 +135,15 @@
     CPPUNIT_ASSERT(played.fewest_for_clients >= kPlaces / 10);
   }
 
-  void texts_go_by_rank_then_by_due_time() {
+  void texts_are_ordered_by_rank_then_due_time() {
     const core::MonotonicTime due{milliseconds(10'000)};
-    const RatingClaim first{1, due};
+    const RatingPriority first{1, due};
     const core::Duration same = milliseconds(50);
-    CPPUNIT_ASSERT(is_turn_of(first, first, same));
-    CPPUNIT_ASSERT(is_turn_of({1, due + milliseconds(50)}, first, same));
-    CPPUNIT_ASSERT(!is_turn_of({1, due + milliseconds(51)}, first, same));
-    CPPUNIT_ASSERT(is_turn_of({0, due + milliseconds(5000)}, first, same));
-    CPPUNIT_ASSERT(!is_turn_of({2, due - milliseconds(5000)}, first, same));
+    CPPUNIT_ASSERT(may_start_before(first, first, same));
+    CPPUNIT_ASSERT(may_start_before({1, due + milliseconds(50)}, first, same));
+    CPPUNIT_ASSERT(!may_start_before({1, due + milliseconds(51)}, first, same));
+    CPPUNIT_ASSERT(may_start_before({0, due + milliseconds(5000)}, first, same));
+    CPPUNIT_ASSERT(!may_start_before({2, due - milliseconds(5000)}, first, same));
   }
 
   void a_service_is_crowded_by_what_it_refuses() {
@@ -163,6 +162,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RatingShareTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RatingQuotaTest);
 
 }  // namespace stoneport::jobs
--- a/tests/unit/jobs/scorer_test.cpp
+++ b/tests/unit/jobs/scorer_test.cpp
@@ -16,20 +16,20 @@
 class ScorerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ScorerTest);
   CPPUNIT_TEST(places_are_left_to_clients);
-  CPPUNIT_TEST(in_a_crowd_the_share_follows_from_the_due_time);
-  CPPUNIT_TEST(in_a_crowd_texts_go_by_rank_and_due_time);
+  CPPUNIT_TEST(in_a_crowd_the_quota_follows_from_the_due_time);
+  CPPUNIT_TEST(in_a_crowd_texts_are_ordered_by_rank_and_due_time);
   CPPUNIT_TEST(failures_are_counted_one_by_one);
-  CPPUNIT_TEST(places_in_an_evacuated_zone_are_none);
+  CPPUNIT_TEST(places_in_an_evacuated_zone_do_not_count);
   CPPUNIT_TEST(a_call_that_takes_long_each_time_is_scored);
-  CPPUNIT_TEST(a_silent_replica_is_left);
-  CPPUNIT_TEST(a_silent_replica_is_left_while_all_places_are_taken);
+  CPPUNIT_TEST(calls_leave_a_silent_replica);
+  CPPUNIT_TEST(calls_leave_a_silent_replica_while_all_places_are_taken);
   CPPUNIT_TEST(a_second_call_counts_no_failure_twice);
-  CPPUNIT_TEST(a_replica_that_fails_all_condemns_no_text);
-  CPPUNIT_TEST(a_text_that_fails_everywhere_blames_one_replica);
+  CPPUNIT_TEST(a_replica_that_fails_every_call_fails_no_text);
+  CPPUNIT_TEST(a_text_that_fails_everywhere_counts_against_one_replica);
   CPPUNIT_TEST(second_calls_stay_few_when_all_are_slow);
-  CPPUNIT_TEST(no_call_runs_on_once_unwanted);
-  CPPUNIT_TEST(the_call_that_lost_is_cut_and_blames_nobody);
-  CPPUNIT_TEST(calls_wait_for_a_replica_before_their_time_runs);
+  CPPUNIT_TEST(unneeded_calls_are_cancelled);
+  CPPUNIT_TEST(the_losing_call_is_cancelled_without_penalty);
+  CPPUNIT_TEST(calls_wait_for_a_replica_before_their_timeout_starts);
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
@@ -86,7 +86,7 @@
 
     bool is_wanted = true;
 
-    void score(const std::string& id, std::optional<RatingClaim> claim = std::nullopt) {
+    void score(const std::string& id, std::optional<RatingPriority> claim = std::nullopt) {
       boost::asio::co_spawn(
           context,
           scorer.score(
@@ -159,7 +159,7 @@
   }
 
   /// 40 texts wait for 20 places, of which 8 are the usual share.
-  void in_a_crowd_the_share_follows_from_the_due_time() {
+  void in_a_crowd_the_quota_follows_from_the_due_time() {
     struct Case {
       std::string name;
       int refusals;  ///< of the calls before: others take the places
@@ -181,9 +181,9 @@
       world.replicas.replicas["r0"].refuse = one.refusals;
       world.learn_usual_time(milliseconds(20));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(one.name, 0, world.replicas.replicas["r0"].refuse);
-      std::optional<RatingClaim> claim;
+      std::optional<RatingPriority> claim;
       if (one.due_in) {
-        claim = RatingClaim{0, world.time.now() + *one.due_in};
+        claim = RatingPriority{0, world.time.now() + *one.due_in};
       }
       for (int call = 0; call < 40; ++call) {
         world.score("s" + std::to_string(call), claim);
@@ -202,14 +202,14 @@
 
   /// 30 texts of a step that has time, then 10 of a step due earlier, then 10 of a higher rank:
   /// while they wait for 8 places, the later ones overtake.
-  void in_a_crowd_texts_go_by_rank_and_due_time() {
+  void in_a_crowd_texts_are_ordered_by_rank_and_due_time() {
     World world(4);
     world.replicas.replicas["r0"].refuse = 10;
     world.learn_usual_time(milliseconds(20));
     world.set_answer_time(milliseconds(60));
     const core::MonotonicTime now = world.time.now();
     std::vector<std::string> rated;
-    const auto submit = [&](const std::string& step, int texts, const RatingClaim& claim) {
+    const auto submit = [&](const std::string& step, int texts, const RatingPriority& claim) {
       for (int text = 0; text < texts; ++text) {
         boost::asio::co_spawn(world.context,
                               world.scorer.score(
@@ -239,7 +239,7 @@
   }
 
   /// Rating calls took the places of clients that were left in the other zone.
-  void places_in_an_evacuated_zone_are_none() {
+  void places_in_an_evacuated_zone_do_not_count() {
     World world(4);
     world.directory.gate().evacuations().take_listing({{core::ZoneName("odd"), core::Revision(1)}},
                                                       core::Revision(1));
@@ -293,7 +293,7 @@
     }
   }
 
-  void a_silent_replica_is_left() {
+  void calls_leave_a_silent_replica() {
     World world(3);
     world.learn_usual_time(milliseconds(20));
     world.replicas.replicas["r0"].silent = true;
@@ -313,7 +313,7 @@
     CPPUNIT_ASSERT_EQUAL(0, world.running_calls());
   }
 
-  void a_silent_replica_is_left_while_all_places_are_taken() {
+  void calls_leave_a_silent_replica_while_all_places_are_taken() {
     World world(4);
     world.learn_usual_time(milliseconds(60));
     world.replicas.replicas["r0"].silent = true;
@@ -345,7 +345,7 @@
   }
 
   /// Given up after two answers of failure: the second call must go to another replica.
-  void a_replica_that_fails_all_condemns_no_text() {
+  void a_replica_that_fails_every_call_fails_no_text() {
     for (int round = 0; round < 5; ++round) {
       World world(3, 1);
       world.replicas.replicas["r0"].fail = 1000;
@@ -360,7 +360,7 @@
     }
   }
 
-  void a_text_that_fails_everywhere_blames_one_replica() {
+  void a_text_that_fails_everywhere_counts_against_one_replica() {
     World world(4, 2);
     for (auto& [id, replica] : world.replicas.replicas) {
       replica.fail = 1;
@@ -391,7 +391,7 @@
     CPPUNIT_ASSERT(world.counted("stoneport_score_calls_cut_total") <= most);
   }
 
-  void no_call_runs_on_once_unwanted() {
+  void unneeded_calls_are_cancelled() {
     World world(2);
     world.set_answer_time(milliseconds(700));
     world.score("a");
@@ -409,7 +409,7 @@
     }
   }
 
-  void the_call_that_lost_is_cut_and_blames_nobody() {
+  void the_losing_call_is_cancelled_without_penalty() {
     World world(2);
     world.learn_usual_time(milliseconds(20));
     world.set_answer_time(milliseconds(450));
@@ -425,7 +425,7 @@
     }
   }
 
-  void calls_wait_for_a_replica_before_their_time_runs() {
+  void calls_wait_for_a_replica_before_their_timeout_starts() {
     World world(1);
     ingress::ReplicaRecord record = world.state_of("r0")->record;
     record.draining = true;
--- a/tests/unit/jobs/slowdown_law_test.cpp
+++ b/tests/unit/jobs/slowdown_estimator_test.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// How much a full replica slows its texts down is learned from what they show.
-#include "jobs/slowdown_law.hpp"
+#include "jobs/slowdown_estimator.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -14,11 +14,11 @@
 
 using std::chrono::milliseconds;
 
-class SlowdownLawTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(SlowdownLawTest);
+class SlowdownEstimatorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(SlowdownEstimatorTest);
   CPPUNIT_TEST(learns_from_replicas_of_unlike_speed);
-  CPPUNIT_TEST(a_replica_that_turns_slow_teaches_nothing);
-  CPPUNIT_TEST(speeds_use_what_their_service_has_taught);
+  CPPUNIT_TEST(a_replica_that_turns_slow_is_ignored);
+  CPPUNIT_TEST(speeds_use_the_slowdown_of_their_service);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint32_t kSlots = 8;
@@ -26,11 +26,11 @@
   /// A replica whose gaps follow a law, with noise.
   struct Replica {
     double empty_gap = 0.04;  ///< seconds
-    UsualWork usual = {};
+    ReplicaBaseline usual = {};
     double slowed = 1;  ///< by a fault
   };
   /// Plays \p seconds with \p running texts on \p replica.
-  static void play(SlowdownLaw& law, Replica& replica, double truth, std::uint32_t running,
+  static void play(SlowdownEstimator& law, Replica& replica, double truth, std::uint32_t running,
                    double seconds, core::RandomSource& random) {
     const double share = static_cast<double>(running) / kSlots;
     double played = 0;
@@ -63,7 +63,7 @@
         {"more than is believed", 2.5, 1, 8, 60, 0.9, 1},
     };
     for (const Case& one : cases) {
-      SlowdownLaw law;
+      SlowdownEstimator law;
       core::RandomSource random(7);
       // The fast ones run more texts, which must not look as if texts made them fast.
       std::vector<Replica> replicas = {{0.03}, {0.04}, {0.05}, {0.08}};
@@ -75,13 +75,13 @@
           play(law, replicas[index], one.truth, running, 2, random);
         }
       }
-      const std::string told = one.name + ": " + std::to_string(law.when_full());
-      CPPUNIT_ASSERT_MESSAGE(told, law.when_full() >= one.low - 1e-9);
-      CPPUNIT_ASSERT_MESSAGE(told, law.when_full() <= one.high + 1e-9);
+      const std::string told = one.name + ": " + std::to_string(law.full_load_slowdown());
+      CPPUNIT_ASSERT_MESSAGE(told, law.full_load_slowdown() >= one.low - 1e-9);
+      CPPUNIT_ASSERT_MESSAGE(told, law.full_load_slowdown() <= one.high + 1e-9);
     }
   }
 
-  void a_replica_that_turns_slow_teaches_nothing() {
+  void a_replica_that_turns_slow_is_ignored() {
     struct Case {
       std::string name;
       std::uint32_t before;  ///< texts when the fault begins
@@ -89,7 +89,7 @@
     };
     const Case cases[] = {{"its texts are moved away", 8, 1}, {"it fills up", 1, 8}};
     for (const Case& one : cases) {
-      SlowdownLaw law;
+      SlowdownEstimator law;
       core::RandomSource random(7);
       Replica replica;
       for (int round = 0; round < 10; ++round) {
@@ -98,13 +98,13 @@
         play(law, replica, 0.2, one.during, 15, random);
         replica.slowed = 1;
       }
-      const std::string told = one.name + ": " + std::to_string(law.when_full());
-      CPPUNIT_ASSERT_MESSAGE(told, law.when_full() >= 0.05);
-      CPPUNIT_ASSERT_MESSAGE(told, law.when_full() <= 0.4);
+      const std::string told = one.name + ": " + std::to_string(law.full_load_slowdown());
+      CPPUNIT_ASSERT_MESSAGE(told, law.full_load_slowdown() >= 0.05);
+      CPPUNIT_ASSERT_MESSAGE(told, law.full_load_slowdown() <= 0.4);
     }
   }
 
-  void speeds_use_what_their_service_has_taught() {
+  void speeds_use_the_slowdown_of_their_service() {
     ReplicaSpeeds speeds;
     const core::ReplicaId id("a");
     const core::ServiceName service("model");
@@ -133,6 +133,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(SlowdownLawTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(SlowdownEstimatorTest);
 
 }  // namespace stoneport::jobs
--- a/tests/unit/jobs/step_shares_test.cpp
+++ b/tests/unit/jobs/step_scheduler_test.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Whose steps are met where there is too little room for all: shares of equal trainers, steps met
 /// against the order by latest start, bounds on waiting, and what a take-over loses.
-#include "jobs/step_shares.hpp"
+#include "jobs/step_scheduler.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -40,7 +40,7 @@
   core::Duration length = seconds(120);
   core::Duration slow_from{}, slow_until{};  ///< half of the places 3.5 times slow
   core::Duration lost_from{}, lost_until{};  ///< half of the places gone
-  core::Duration take_over_at{};             ///< what StepShares remembers is dropped
+  core::Duration take_over_at{};             ///< what StepScheduler remembers is dropped
   std::vector<double> size_factors = {};     ///< by trainer: texts so many times longer
 };
 
@@ -75,7 +75,7 @@
       begin_steps();
       set_places();
       if (load_.take_over_at != core::Duration(0) && now_ == load_.take_over_at) {
-        shares_ = StepShares();
+        shares_ = StepScheduler();
       }
       if (order_ == Order::kShares && now_ % kDecisionInterval == core::Duration(0)) {
         decide();
@@ -196,7 +196,7 @@
       step.job = trainer.job->job.id;
       step.trainer = std::to_string(index);
       step.due = trainer.job->entry.accepted_at + kRunDeadline;
-      step.work = trainer.job->work_left(law_);
+      step.work = trainer.job->remaining_work(law_);
       step.last_end = core::from_seconds(step.work.longest / fastest());
       step.late_end = core::from_seconds(step.work.late_longest / fastest());
       step.pools = {0, 1};
@@ -342,8 +342,8 @@
   std::mt19937 random_;
   std::vector<TrainerResult> results_;
   ingress::Route route_;
-  LengthLaw law_;
-  StepShares shares_;
+  LengthEstimator law_;
+  StepScheduler shares_;
   std::vector<TrainerState> trainers_;
   std::vector<Place> places_;
   core::Duration now_{};
@@ -397,19 +397,19 @@
 
 }  // namespace
 
-class StepSharesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(StepSharesTest);
-  CPPUNIT_TEST(equal_trainers_fare_alike_where_half_of_the_work_fits);
+class StepSchedulerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(StepSchedulerTest);
+  CPPUNIT_TEST(equal_trainers_get_equal_shares_at_half_capacity);
   CPPUNIT_TEST(more_steps_are_met_under_shortage_than_by_latest_start);
-  CPPUNIT_TEST(slow_and_lost_replicas_cost_no_trainer_more_than_others);
-  CPPUNIT_TEST(with_room_for_all_the_order_stays);
-  CPPUNIT_TEST(a_take_over_amid_steps_costs_little);
+  CPPUNIT_TEST(slow_and_lost_replicas_affect_all_trainers_alike);
+  CPPUNIT_TEST(with_enough_capacity_the_order_is_unchanged);
+  CPPUNIT_TEST(a_takeover_costs_few_steps);
   CPPUNIT_TEST(each_trainer_is_chosen_in_as_many_rounds_as_there_are_trainers);
-  CPPUNIT_TEST(a_step_begun_is_not_given_up_for_a_new_one);
-  CPPUNIT_TEST(a_lower_rank_gets_what_the_higher_one_leaves);
-  CPPUNIT_TEST(steps_on_other_replicas_are_left_alone);
-  CPPUNIT_TEST(a_step_that_is_lost_goes_last);
-  CPPUNIT_TEST(what_is_not_known_keeps_its_order);
+  CPPUNIT_TEST(a_started_step_is_not_deferred_for_a_new_one);
+  CPPUNIT_TEST(a_lower_rank_gets_the_capacity_left_by_the_higher_one);
+  CPPUNIT_TEST(steps_on_other_replicas_are_not_deferred);
+  CPPUNIT_TEST(a_lost_step_is_placed_last);
+  CPPUNIT_TEST(steps_with_unknown_work_keep_their_order);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint32_t kSeeds = 3;
@@ -417,7 +417,7 @@
   // Four trainers of one rank ask for about twice what the places make. The bounds are what
   // trainers are promised: a tenth between the first and the last; not more steps of one's own
   // lost in a row than there are trainers.
-  void equal_trainers_fare_alike_where_half_of_the_work_fits() {
+  void equal_trainers_get_equal_shares_at_half_capacity() {
     for (const double capacity : {0.45, 0.5, 0.55}) {
       Load load{"capacity " + std::to_string(capacity), capacity};
       load.length = seconds(240);
@@ -445,7 +445,7 @@
     }
   }
 
-  void slow_and_lost_replicas_cost_no_trainer_more_than_others() {
+  void slow_and_lost_replicas_affect_all_trainers_alike() {
     Load load{"half slow, then half lost", 0.7};
     load.slow_from = seconds(20);
     load.slow_until = seconds(32);
@@ -460,7 +460,7 @@
     }
   }
 
-  void with_room_for_all_the_order_stays() {
+  void with_enough_capacity_the_order_is_unchanged() {
     for (const double capacity : {1.0, 1.3}) {
       const Load load{"capacity " + std::to_string(capacity), capacity};
       for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
@@ -475,7 +475,7 @@
 
   // Who takes over knows the jobs and their texts, and nothing of who lost before: each trainer
   // may lose one step by that.
-  void a_take_over_amid_steps_costs_little() {
+  void a_takeover_costs_few_steps() {
     Load load{"take-over", 0.5};
     load.length = seconds(240);
     Load cut = load;
@@ -492,7 +492,7 @@
 
   void each_trainer_is_chosen_in_as_many_rounds_as_there_are_trainers() {
     const std::vector<std::string> trainers = {"a", "b", "c", "d", "e"};
-    StepShares shares;
+    StepScheduler shares;
     std::map<std::string, std::size_t> waited;
     core::Duration now{};
     for (int round = 0; round < 50; ++round) {
@@ -519,35 +519,35 @@
     }
   }
 
-  void a_step_begun_is_not_given_up_for_a_new_one() {
-    StepShares shares;
+  void a_started_step_is_not_deferred_for_a_new_one() {
+    StepScheduler shares;
     const OpenStep first = step_of("a", 0, seconds(8), 400);
     const OpenStep second = step_of("b", 0, seconds(9), 400);
     StepDecision decision = shares.decide({first, second}, {kRate}, seconds(0));
     CPPUNIT_ASSERT(decision.places.at("a-0").plan == StepPlan::kMeet);
-    CPPUNIT_ASSERT(decision.places.at("b-0").plan == StepPlan::kBehind);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decision.put_behind.size());
+    CPPUNIT_ASSERT(decision.places.at("b-0").plan == StepPlan::kDeferred);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decision.deferred.size());
     // One that is due before it comes, and a little less is made than was thought.
     const OpenStep third = step_of("c", 0, seconds(7), 350);
     decision = shares.decide({first, second, third}, {kRate * 0.9}, milliseconds(100));
     CPPUNIT_ASSERT(decision.places.at("a-0").plan == StepPlan::kMeet);
-    CPPUNIT_ASSERT(decision.places.at("c-0").plan == StepPlan::kBehind);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decision.put_behind.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("c-0"), decision.put_behind.front().job);
+    CPPUNIT_ASSERT(decision.places.at("c-0").plan == StepPlan::kDeferred);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decision.deferred.size());
+    CPPUNIT_ASSERT_EQUAL(std::string("c-0"), decision.deferred.front().job);
   }
 
-  void a_lower_rank_gets_what_the_higher_one_leaves() {
-    StepShares shares;
+  void a_lower_rank_gets_the_capacity_left_by_the_higher_one() {
+    StepScheduler shares;
     const OpenStep urgent = step_of("a", 0, seconds(9), 400);
     OpenStep patient = step_of("b", 0, seconds(8), 400);
     patient.rank = 1;
     const StepDecision decision = shares.decide({patient, urgent}, {kRate}, seconds(0));
     CPPUNIT_ASSERT(decision.places.at("a-0") == StepPlace());
-    CPPUNIT_ASSERT(decision.places.at("b-0").plan == StepPlan::kBehind);
+    CPPUNIT_ASSERT(decision.places.at("b-0").plan == StepPlan::kDeferred);
   }
 
-  void steps_on_other_replicas_are_left_alone() {
-    StepShares shares;
+  void steps_on_other_replicas_are_not_deferred() {
+    StepScheduler shares;
     const OpenStep first = step_of("a", 0, seconds(8), 400);
     const OpenStep second = step_of("b", 0, seconds(8), 400);
     OpenStep elsewhere = step_of("c", 0, seconds(8), 400);
@@ -555,26 +555,26 @@
     const StepDecision decision =
         shares.decide({first, second, elsewhere}, {kRate, kRate}, seconds(0));
     CPPUNIT_ASSERT(decision.places.at("a-0").plan == StepPlan::kMeet);
-    CPPUNIT_ASSERT(decision.places.at("b-0").plan == StepPlan::kBehind);
+    CPPUNIT_ASSERT(decision.places.at("b-0").plan == StepPlan::kDeferred);
     CPPUNIT_ASSERT(decision.places.at("c-0").plan == StepPlan::kMeet);
   }
 
-  void a_step_that_is_lost_goes_last() {
-    StepShares shares;
+  void a_lost_step_is_placed_last() {
+    StepScheduler shares;
     const OpenStep lost = step_of("a", 0, milliseconds(300), 300);
     const OpenStep second = step_of("b", 0, seconds(8), 400);
     const OpenStep third = step_of("c", 0, seconds(9), 400);
     const StepDecision decision = shares.decide({lost, second, third}, {kRate}, seconds(0));
     CPPUNIT_ASSERT((decision.places.at("b-0") == StepPlace{StepPlan::kMeet, 0}));
-    CPPUNIT_ASSERT((decision.places.at("c-0") == StepPlace{StepPlan::kBehind, 1}));
+    CPPUNIT_ASSERT((decision.places.at("c-0") == StepPlace{StepPlan::kDeferred, 1}));
     CPPUNIT_ASSERT((decision.places.at("a-0") == StepPlace{StepPlan::kLost, 2}));
     const StepDecision after = shares.decide({second, third}, {kRate}, seconds(1));
     CPPUNIT_ASSERT_EQUAL(1u, after.missed);
     CPPUNIT_ASSERT_EQUAL(0u, after.met);
   }
 
-  void what_is_not_known_keeps_its_order() {
-    StepShares shares;
+  void steps_with_unknown_work_keep_their_order() {
+    StepScheduler shares;
     OpenStep first = step_of("a", 0, seconds(8), 4000);
     OpenStep second = step_of("b", 0, seconds(8), 4000);
     first.pools.clear();
@@ -585,6 +585,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StepSharesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StepSchedulerTest);
 
 }  // namespace stoneport::jobs
--- a/tests/unit/jobs/term_watch_test.cpp
+++ b/tests/unit/jobs/term_observer_test.cpp
@@ -7,17 +7,17 @@
 
 namespace stoneport::jobs {
 
-class TermWatchTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(TermWatchTest);
+class TermObserverTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(TermObserverTest);
   CPPUNIT_TEST(bids_when_the_heartbeat_stops_and_not_before);
   CPPUNIT_TEST(bids_at_once_for_a_term_without_a_holder);
-  CPPUNIT_TEST(silence_of_the_store_proves_nothing);
-  CPPUNIT_TEST(a_pause_of_the_process_proves_nothing);
-  CPPUNIT_TEST(signs_of_the_members_shorten_the_wait);
-  CPPUNIT_TEST(an_end_from_before_the_term_proves_nothing);
+  CPPUNIT_TEST(silence_of_the_store_is_ignored);
+  CPPUNIT_TEST(a_pause_of_the_process_is_ignored);
+  CPPUNIT_TEST(status_reports_shorten_the_wait);
+  CPPUNIT_TEST(an_end_reported_before_the_term_is_ignored);
   CPPUNIT_TEST(a_process_that_starts_counts_the_silence_before_it);
   CPPUNIT_TEST(small_machines_bid_later);
-  CPPUNIT_TEST(a_small_machine_that_knows_first_leaves_the_term_to_a_large_one);
+  CPPUNIT_TEST(a_small_machine_informed_first_lets_a_large_one_win);
   CPPUNIT_TEST_SUITE_END();
 
   static core::MonotonicTime at(int milliseconds) {
@@ -26,7 +26,7 @@
 
   /// \return the first time from \p start on, in steps of 100 ms, at which a
   /// process bids whose store always answers; -1 when it never does.
-  static int first_bid(TermWatch& watch, int start, int end) {
+  static int first_bid(TermObserver& watch, int start, int end) {
     for (int now = start; now <= end; now += 100) {
       if (watch.should_bid(at(now), at(now), 0)) {
         return now;
@@ -37,7 +37,7 @@
 
   void bids_when_the_heartbeat_stops_and_not_before() {
     const TermSettings settings;
-    TermWatch watch(settings);
+    TermObserver watch(settings);
     for (int now = 0; now <= 5000; now += 100) {
       if (now % 300 == 0) {
         watch.on_change(at(now), true);
@@ -49,13 +49,13 @@
   }
 
   void bids_at_once_for_a_term_without_a_holder() {
-    TermWatch watch{TermSettings()};
+    TermObserver watch{TermSettings()};
     watch.on_change(at(100), false);
     CPPUNIT_ASSERT_EQUAL(100, first_bid(watch, 100, 1000));
   }
 
-  void silence_of_the_store_proves_nothing() {
-    TermWatch watch{TermSettings()};
+  void silence_of_the_store_is_ignored() {
+    TermObserver watch{TermSettings()};
     watch.on_change(at(0), true);
     for (int now = 0; now <= 6000; now += 100) {
       CPPUNIT_ASSERT(!watch.should_bid(at(now), at(0), 0));
@@ -65,23 +65,23 @@
     CPPUNIT_ASSERT(bid >= 7200);
   }
 
-  void a_pause_of_the_process_proves_nothing() {
-    TermWatch watch{TermSettings()};
+  void a_pause_of_the_process_is_ignored() {
+    TermObserver watch{TermSettings()};
     watch.on_change(at(0), true);
     CPPUNIT_ASSERT(!watch.should_bid(at(100), at(100), 0));
     CPPUNIT_ASSERT(!watch.should_bid(at(5000), at(5000), 0));
     CPPUNIT_ASSERT_EQUAL(6200, first_bid(watch, 5100, 9000));
   }
 
-  void signs_of_the_members_shorten_the_wait() {
+  void status_reports_shorten_the_wait() {
     struct Case {
-      HolderSign sign;
+      HolderStatus sign;
       int bid_at;
     };
     const Case cases[] = {
-        {HolderSign::kUnknown, 1200}, {HolderSign::kSuspect, 500}, {HolderSign::kEnded, 100}};
+        {HolderStatus::kUnknown, 1200}, {HolderStatus::kSuspect, 500}, {HolderStatus::kEnded, 100}};
     for (const Case& one : cases) {
-      TermWatch watch{TermSettings()};
+      TermObserver watch{TermSettings()};
       watch.on_change(at(0), true);
       int bid_at = -1;
       for (int now = 100; now <= 3000 && bid_at < 0; now += 100) {
@@ -91,9 +91,9 @@
     }
   }
 
-  void an_end_from_before_the_term_proves_nothing() {
-    TermWatch watch{TermSettings()};
-    const auto bids = [&](int now, HolderSign sign) {
+  void an_end_reported_before_the_term_is_ignored() {
+    TermObserver watch{TermSettings()};
+    const auto bids = [&](int now, HolderStatus sign) {
       return watch.should_bid(at(now), at(now), 0, sign);
     };
     watch.on_new_holder();
@@ -101,18 +101,18 @@
       if (now % 300 == 0) {
         watch.on_change(at(now), true);
       }
-      CPPUNIT_ASSERT(!bids(now, HolderSign::kEnded));
+      CPPUNIT_ASSERT(!bids(now, HolderStatus::kEnded));
     }
-    CPPUNIT_ASSERT(!bids(3300, HolderSign::kEnded));
+    CPPUNIT_ASSERT(!bids(3300, HolderStatus::kEnded));
     // Silence counts as ever, and so does an end that comes to be known now.
-    CPPUNIT_ASSERT(bids(3800, HolderSign::kSuspect));
+    CPPUNIT_ASSERT(bids(3800, HolderStatus::kSuspect));
     watch.on_change(at(3900), true);
-    CPPUNIT_ASSERT(!bids(3900, HolderSign::kUnknown));
-    CPPUNIT_ASSERT(bids(4000, HolderSign::kEnded));
+    CPPUNIT_ASSERT(!bids(3900, HolderStatus::kUnknown));
+    CPPUNIT_ASSERT(bids(4000, HolderStatus::kEnded));
   }
 
   void a_process_that_starts_counts_the_silence_before_it() {
-    TermWatch watch{TermSettings()};
+    TermObserver watch{TermSettings()};
     watch.on_change(at(10000), true, std::chrono::milliseconds(5000));
     CPPUNIT_ASSERT(watch.should_bid(at(10000), at(10000), 0));
     // A heartbeat that comes later is as old as its arrival.
@@ -127,7 +127,7 @@
     }
     TermSettings settings;
     settings.bid_delay = std::chrono::milliseconds(300);
-    TermWatch watch(settings);
+    TermObserver watch(settings);
     watch.on_change(at(0), false);
     CPPUNIT_ASSERT(!watch.should_bid(at(250), at(250), 0));
     CPPUNIT_ASSERT(watch.should_bid(at(300), at(300), 0));
@@ -140,13 +140,13 @@
   /// With 0.12 of a core a coordinator adopts jobs 0.2 to 0.3 s late. Worth of 13 paired days of
   /// 71 and 80 machines, signs shortening the wait of all machines against those of large ones
   /// alone: 0.826 and 0.833, the least 0.661 and 0.689.
-  void a_small_machine_that_knows_first_leaves_the_term_to_a_large_one() {
+  void a_small_machine_informed_first_lets_a_large_one_win() {
     constexpr double kSmallShare = 0.12;
     constexpr int kLatestLargeBid = 1400;  // without any sign, with the whole spread
-    for (const HolderSign sign : {HolderSign::kSuspect, HolderSign::kUnknown}) {
+    for (const HolderStatus sign : {HolderStatus::kSuspect, HolderStatus::kUnknown}) {
       TermSettings settings;
       settings.bid_delay = bid_delay_of(kSmallShare);
-      TermWatch watch(settings);
+      TermObserver watch(settings);
       watch.on_change(at(0), true);
       int bid_at = -1;
       for (int now = 100; now <= 3000 && bid_at < 0; now += 100) {
@@ -158,6 +158,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TermWatchTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(TermObserverTest);
 
 }  // namespace stoneport::jobs
--- a/tests/unit/node/holder_sign_test.cpp
+++ b/tests/unit/node/holder_sign_test.cpp
@@ -20,26 +20,26 @@
   }
 
   void cases() {
-    using jobs::HolderSign;
+    using jobs::HolderStatus;
     using wire::MemberState;
     struct Case {
       std::string name;
       std::string holder;
       std::uint64_t known_life;
       MemberState state;
-      HolderSign sign;
+      HolderStatus sign;
     };
     const Case cases[] = {
-        {"alive", "n#7", 7, MemberState::kAlive, HolderSign::kUnknown},
-        {"suspect", "n#7", 7, MemberState::kSuspect, HolderSign::kSuspect},
-        {"dead", "n#7", 7, MemberState::kDead, HolderSign::kSuspect},
-        {"started anew", "n#7", 8, MemberState::kAlive, HolderSign::kEnded},
+        {"alive", "n#7", 7, MemberState::kAlive, HolderStatus::kUnknown},
+        {"suspect", "n#7", 7, MemberState::kSuspect, HolderStatus::kSuspect},
+        {"dead", "n#7", 7, MemberState::kDead, HolderStatus::kSuspect},
+        {"started anew", "n#7", 8, MemberState::kAlive, HolderStatus::kEnded},
         // A holder that has just started, known here by its life before: the bids
         // against it on 2026-12-02 (bench/days/rolling-stop.toml).
-        {"only an earlier life is known", "n#7", 6, MemberState::kAlive, HolderSign::kUnknown},
-        {"an earlier life is dead", "n#7", 6, MemberState::kDead, HolderSign::kUnknown},
-        {"another node", "m#7", 9, MemberState::kDead, HolderSign::kUnknown},
-        {"no name", "", 9, MemberState::kDead, HolderSign::kUnknown},
+        {"only an earlier life is known", "n#7", 6, MemberState::kAlive, HolderStatus::kUnknown},
+        {"an earlier life is dead", "n#7", 6, MemberState::kDead, HolderStatus::kUnknown},
+        {"another node", "m#7", 9, MemberState::kDead, HolderStatus::kUnknown},
+        {"no name", "", 9, MemberState::kDead, HolderStatus::kUnknown},
     };
     for (const Case& one : cases) {
       const wire::MemberMap members = {{core::NodeId("n"), member("n", one.known_life, one.state)}};
--- a/tests/unit/node/node_life_test.cpp
+++ b/tests/unit/node/node_life_test.cpp
@@ -68,7 +68,7 @@
     const Node node({context.get_executor(), store, replicas, parser, time, metrics, duties},
                     settings);
     CPPUNIT_ASSERT(!node.members().empty());
-    CPPUNIT_ASSERT(holder_sign(node.life(), node.members()) == jobs::HolderSign::kUnknown);
+    CPPUNIT_ASSERT(holder_sign(node.life(), node.members()) == jobs::HolderStatus::kUnknown);
   }
 };
 
--- a/tests/unit/records/feed_pace_test.cpp
+++ b/tests/unit/records/feed_pace_test.cpp
@@ -10,10 +10,10 @@
   CPPUNIT_TEST_SUITE(FeedPaceTest);
   CPPUNIT_TEST(all_processes_together_keep_to_their_share);
   CPPUNIT_TEST(a_small_fleet_reads_as_often_as_is_useful);
-  CPPUNIT_TEST(news_is_never_held_back_for_long);
+  CPPUNIT_TEST(updates_are_never_delayed_for_long);
   CPPUNIT_TEST(reading_again_takes_no_more_of_the_link_in_a_larger_fleet);
-  CPPUNIT_TEST(pages_are_small_enough_for_news_of_the_own_window_to_come_in_time);
-  CPPUNIT_TEST(a_process_that_knows_no_other_one_goes_by_what_a_page_takes);
+  CPPUNIT_TEST(pages_are_small_enough_for_timely_updates_of_the_own_window);
+  CPPUNIT_TEST(without_known_peers_the_pause_follows_the_page_time);
   CPPUNIT_TEST_SUITE_END();
 
   static double calls_per_second(std::size_t processes, double allowed) {
@@ -45,14 +45,14 @@
   }
 
   /// Replicas that drain serve on for 3 s.
-  void pages_are_small_enough_for_news_of_the_own_window_to_come_in_time() {
+  void pages_are_small_enough_for_timely_updates_of_the_own_window() {
     for (const std::size_t processes : {250u, 985u, 1970u, 4000u}) {
       const std::size_t page = most_page_bytes(processes);
       CPPUNIT_ASSERT(reread_pause(processes, page, {}) <= kLongestRereadPause);
     }
   }
 
-  void a_process_that_knows_no_other_one_goes_by_what_a_page_takes() {
+  void without_known_peers_the_pause_follows_the_page_time() {
     const core::Duration pause = reread_pause(1, 350'000, std::chrono::milliseconds(700));
     CPPUNIT_ASSERT(pause == kLongestRereadPause);
     CPPUNIT_ASSERT(reread_pause(1, 350'000, std::chrono::milliseconds(50)) >=
@@ -60,7 +60,7 @@
   }
 
   /// Beyond this size the feeds take more than their share: the design ends there.
-  void news_is_never_held_back_for_long() {
+  void updates_are_never_delayed_for_long() {
     CPPUNIT_ASSERT(feed_interval(100'000, 16'000) == std::chrono::milliseconds(600));
   }
 };
--- a/tests/unit/records/probed_store_test.cpp
+++ b/tests/unit/records/probed_store_test.cpp
@@ -15,8 +15,8 @@
 class ProbedStoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ProbedStoreTest);
   CPPUNIT_TEST(calls_pass_while_the_store_serves);
-  CPPUNIT_TEST(nothing_is_sent_to_a_lost_store_but_probes);
-  CPPUNIT_TEST(calls_go_on_as_the_store_returns);
+  CPPUNIT_TEST(only_probes_are_sent_to_a_lost_store);
+  CPPUNIT_TEST(calls_resume_when_the_store_returns);
   CPPUNIT_TEST_SUITE_END();
 
   struct World {
@@ -49,7 +49,7 @@
     CPPUNIT_ASSERT(page && page->records.size() == 1);
   }
 
-  void nothing_is_sent_to_a_lost_store_but_probes() {
+  void only_probes_are_sent_to_a_lost_store() {
     World world;
     world.probed.start();
     world.lose_store(true);
@@ -63,7 +63,7 @@
                    std::string::npos);
   }
 
-  void calls_go_on_as_the_store_returns() {
+  void calls_resume_when_the_store_returns() {
     World world;
     world.lose_store(true);
     runtime::start(world.context.get_executor(), "return",
--- a/tests/unit/records/table_follower_test.cpp
+++ b/tests/unit/records/table_follower_test.cpp
@@ -79,22 +79,22 @@
 
 class TableFollowerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TableFollowerTest);
-  CPPUNIT_TEST(tells_the_whole_table_page_by_page);
+  CPPUNIT_TEST(reports_the_whole_table_page_by_page);
   CPPUNIT_TEST(a_change_costs_the_same_in_a_table_of_any_size);
   CPPUNIT_TEST(a_quiet_table_costs_the_same_calls_whatever_its_size);
-  CPPUNIT_TEST(a_listing_goes_on_where_the_store_refused_it);
+  CPPUNIT_TEST(a_listing_resumes_where_the_store_refused_it);
   CPPUNIT_TEST(a_refused_feed_is_followed_on_without_a_listing);
-  CPPUNIT_TEST(a_row_that_went_and_came_within_one_answer_is_there);
-  CPPUNIT_TEST(a_change_that_the_feed_passed_over_is_found);
-  CPPUNIT_TEST(rows_that_went_while_the_history_was_lost_are_removed);
+  CPPUNIT_TEST(a_row_removed_and_rewritten_within_one_answer_is_kept);
+  CPPUNIT_TEST(a_change_missed_by_the_feed_is_found);
+  CPPUNIT_TEST(rows_removed_while_the_history_was_lost_are_dropped);
   CPPUNIT_TEST(a_lost_history_costs_one_page_at_once_whatever_the_size);
   CPPUNIT_TEST(a_feed_that_is_far_behind_costs_one_page_at_once_whatever_the_size);
-  CPPUNIT_TEST(changes_that_come_faster_than_they_are_followed_cost_the_window_alone);
-  CPPUNIT_TEST(a_table_is_read_again_around_to_where_that_began);
+  CPPUNIT_TEST(changes_faster_than_the_follower_cost_only_the_window);
+  CPPUNIT_TEST(a_reread_wraps_around_to_its_first_key);
   CPPUNIT_TEST(pages_that_are_read_again_are_no_larger_than_asked_for);
   CPPUNIT_TEST_SUITE_END();
 
-  void tells_the_whole_table_page_by_page() {
+  void reports_the_whole_table_page_by_page() {
     World world(35);
     world.start();
     CPPUNIT_ASSERT_EQUAL(std::size_t{35}, world.there.size());
@@ -132,7 +132,7 @@
     CPPUNIT_ASSERT(reads_for_each_check(160) <= 1);
   }
 
-  void a_listing_goes_on_where_the_store_refused_it() {
+  void a_listing_resumes_where_the_store_refused_it() {
     World world(95, quick_checks());
     world.follower.start();
     while (world.store.reads < 6) {
@@ -168,7 +168,7 @@
                            world.store.reads - reads <= 2);
   }
 
-  void a_row_that_went_and_came_within_one_answer_is_there() {
+  void a_row_removed_and_rewritten_within_one_answer_is_kept() {
     TableFollowerOptions options;
     options.feed_interval = milliseconds(50);
     World world(5, options);
@@ -185,7 +185,7 @@
   }
 
   /// The feed counts as read up to a revision, and a page shows that it has left one out.
-  void a_change_that_the_feed_passed_over_is_found() {
+  void a_change_missed_by_the_feed_is_found() {
     World world(45, quick_checks());
     world.start();
     world.store.hidden_from_feed = World::key_of(42);
@@ -276,7 +276,7 @@
     CPPUNIT_ASSERT_EQUAL(rows, world.there.size());
     return calls / (passed / kPause + 2);
   }
-  void changes_that_come_faster_than_they_are_followed_cost_the_window_alone() {
+  void changes_faster_than_the_follower_cost_only_the_window() {
     // A page and an answer of the feed in each pause, as before it began and as it ends.
     for (const std::size_t rows : {20u, 80u}) {
       const double calls = calls_a_pause_under_flood(rows);
@@ -284,7 +284,7 @@
     }
   }
 
-  void a_table_is_read_again_around_to_where_that_began() {
+  void a_reread_wraps_around_to_its_first_key() {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
     options.retry_delay = milliseconds(5);
@@ -332,7 +332,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{39}, world.there.size());
   }
 
-  void rows_that_went_while_the_history_was_lost_are_removed() {
+  void rows_removed_while_the_history_was_lost_are_dropped() {
     World world(45);
     world.start();
     world.store.faults.history_lost = true;
--- a/tests/unit/scaling/spot_plan_test.cpp
+++ b/tests/unit/scaling/spot_plan_test.cpp
@@ -10,10 +10,10 @@
 
 class SpotPlanTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SpotPlanTest);
-  CPPUNIT_TEST(ordinary_times_want_none);
-  CPPUNIT_TEST(late_steps_want_a_place_for_each_open_text);
-  CPPUNIT_TEST(what_is_wanted_stays_until_no_step_was_late_for_a_while);
-  CPPUNIT_TEST(a_new_holder_goes_on_with_what_was_ordered);
+  CPPUNIT_TEST(no_spot_replicas_without_late_steps);
+  CPPUNIT_TEST(late_steps_get_a_slot_for_each_open_text);
+  CPPUNIT_TEST(spot_replicas_are_kept_until_no_step_was_late_for_a_while);
+  CPPUNIT_TEST(a_new_holder_keeps_the_ordered_replicas);
   CPPUNIT_TEST(an_evacuated_zone_counts_as_gone);
   CPPUNIT_TEST_SUITE_END();
 
@@ -24,14 +24,14 @@
   ScalingLimits limits() const { return {24, {{cheap_, 0.5}, {dear_, 1.5}}}; }
   static core::MonotonicTime at(int second) { return core::MonotonicTime(seconds(second)); }
 
-  void ordinary_times_want_none() {
+  void no_spot_replicas_without_late_steps() {
     SpotPlan plan;
     for (const auto& [zone, spot] : plan.decide(at(0), {false, 5000, 6}, fleet(), limits())) {
       CPPUNIT_ASSERT_EQUAL(0u, spot);
     }
   }
 
-  void late_steps_want_a_place_for_each_open_text() {
+  void late_steps_get_a_slot_for_each_open_text() {
     struct Case {
       std::string name;
       std::uint32_t open_texts;
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT_EQUAL(0u, plan.decide(at(0), {true, 5000, 6}, fleet(), none).at(cheap_));
   }
 
-  void what_is_wanted_stays_until_no_step_was_late_for_a_while() {
+  void spot_replicas_are_kept_until_no_step_was_late_for_a_while() {
     SpotPlan plan;
     const auto wanted = [&](int second, bool is_late, std::uint32_t open_texts) {
       return plan.decide(at(second), {is_late, open_texts, 6}, fleet(), limits()).at(cheap_);
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT_EQUAL(0u, wanted(32, false, 180));
   }
 
-  void a_new_holder_goes_on_with_what_was_ordered() {
+  void a_new_holder_keeps_the_ordered_replicas() {
     SpotPlan plan;
     plan.resume(at(0), 180);
     CPPUNIT_ASSERT_EQUAL(10u, plan.decide(at(1), {false, 0, 6}, fleet(), limits()).at(cheap_));
