--- a/src/jobs/checkpoint_batch.cpp
+++ b/src/jobs/checkpoint_batch.cpp
@@ -51,7 +51,7 @@
       const Checkpoint checkpoint = new_events(job->job.items[index].id, item.text);
       ports::RecordWrite write = encode_checkpoint(job->job.id, checkpoint);
       if (write.value->size() > record_bytes) {
-        continue;  // a text this large in one interval starts anew after a take-over
+        continue;  // too large for one interval: restarts from the beginning after a takeover
       }
       bytes += write.value->size();
       batch.writes.push_back(std::move(write));
--- a/src/jobs/checkpoint_batch.hpp
+++ b/src/jobs/checkpoint_batch.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which events of the texts in the making a transaction takes along, so that
-/// another coordinator goes on from them. Plain code.
+/// Selects the events of unfinished texts that a transaction checkpoints, so that the next
+/// coordinator can resume the texts from them. No I/O.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace stoneport::jobs {
 
-/// Events of one text that a transaction carries.
+/// Range of events of one text that a transaction checkpoints.
 struct CheckpointedText {
   OpenJobPointer job;
   std::size_t item = 0;
@@ -21,11 +21,13 @@
   std::vector<ports::RecordWrite> writes;
   std::vector<CheckpointedText> texts;
 
-  /// The store holds them: \return how many events became safe.
+  /// Marks the events as checkpointed once the store has confirmed the transaction. \return the
+  /// number of events that became durable.
   std::uint64_t mark_durable() const;
 };
 
-/// \param most_writes and \param most_bytes room that the transaction has
+/// Collects events that the store does not hold yet.
+/// \param most_writes and \param most_bytes limits of the transaction
 CheckpointBatch collect_checkpoints(const std::vector<OpenJobPointer>& jobs,
                                     std::size_t most_writes, std::size_t most_bytes,
                                     std::size_t record_bytes);
--- a/src/jobs/coordinator.cpp
+++ b/src/jobs/coordinator.cpp
@@ -22,20 +22,20 @@
 
 void Coordinator::begin(Term term) {
   began_at_ = inputs_.time.now();
-  tenure_ = std::make_shared<TermSession>(inputs_, settings_, keeper_, term);
-  tenure_->start();
+  session_ = std::make_shared<TermSession>(inputs_, settings_, keeper_, term);
+  session_->start();
 }
 
 void Coordinator::finish() {
-  if (tenure_) {
-    tenure_->stop();
-    tenure_.reset();
+  if (session_) {
+    session_->stop();
+    session_.reset();
   }
 }
 
 void Coordinator::on_inputs_changed() {
-  if (tenure_) {
-    tenure_->dispatch_soon();
+  if (session_) {
+    session_->dispatch_soon();
     leave_if_preferred_elsewhere();
   }
 }
@@ -59,18 +59,18 @@
 }
 
 asio::awaitable<void> Coordinator::leave() {
-  const std::shared_ptr<TermSession> tenure = tenure_;
-  if (tenure) {
-    co_await tenure->hand_over();
+  const std::shared_ptr<TermSession> session = session_;
+  if (session) {
+    co_await session->hand_over();
   }
   co_await keeper_.step_down();
   leaving_ = false;
 }
 
 asio::awaitable<void> Coordinator::stop() {
-  const std::shared_ptr<TermSession> tenure = tenure_;
-  if (tenure) {
-    co_await tenure->hand_over();
+  const std::shared_ptr<TermSession> session = session_;
+  if (session) {
+    co_await session->hand_over();
   }
   co_await keeper_.release();
   finish();
--- a/src/jobs/coordinator.hpp
+++ b/src/jobs/coordinator.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Works on all open jobs while this process holds the term: learns of jobs and
-/// their ends, places items on replicas, has texts scored and listed, and hands
-/// over when the term ends. Belongs to one thread.
+/// Processes all open jobs while this process holds the coordinator term: follows the job index,
+/// places items on replicas, has texts scored and listed, and hands over when the term ends. Used
+/// from one thread only.
 #pragma once
 
 #include <memory>
@@ -24,26 +24,27 @@
   ItemDispatcherSettings dispatcher;
   ScorerSettings scorer;
   weights::LoadPlanSettings weights;
-  /// No order to a replica within this time of another holder's announcement.
+  /// No load order is sent to a replica within this time of another holder's announcement.
   core::Duration order_pause = std::chrono::milliseconds(3700);
-  /// No order when the last confirmed heartbeat is older than this.
+  /// No load order is sent when the last confirmed heartbeat is older than this.
   core::Duration order_confirmation = std::chrono::milliseconds(1000);
   core::Duration tick = std::chrono::milliseconds(100);
-  /// How long after its acceptance a job's records are kept.
+  /// Time after its acceptance for which a job's records are kept.
   core::Duration retention = std::chrono::seconds(120);
   core::Duration sweep_interval = std::chrono::seconds(10);
-  /// Where this process runs. Bodies of jobs that are bound to other regions never come here.
+  /// Region of this process. It never reads bodies of jobs that are bound to other regions.
   core::RegionName region = {};
-  /// A process in a region that jobs do not allow bids all the same when the term has been silent
-  /// for this long: those in an allowed region may be cut off from the store. Several take-overs
-  /// (at most 1.9 s with all delays) fit in, so that one of them is first.
+  /// Silence of the term after which a process bids although its region is not one that the jobs
+  /// allow: the processes in allowed regions may be cut off from the store. Long enough for several
+  /// takeovers (at most 1.9 s each with all delays), so that an allowed process wins if there is
+  /// one.
   core::Duration foreign_term_silence = std::chrono::seconds(4);
-  /// It keeps a term that it has begun for at least this long, so that a term that nobody else
-  /// can take does not change hands all the time.
+  /// Minimum time for which a process outside the allowed regions keeps a term that it has gained,
+  /// so that a term that no other process can take does not change hands continually.
   core::Duration min_term_duration = std::chrono::seconds(5);
 };
 
-/// What the coordinator works with; all outlive it.
+/// Dependencies of the coordinator; all must outlive it.
 struct CoordinatorInputs {
   boost::asio::any_io_executor executor;
   ports::RecordStore& store;
@@ -53,17 +54,17 @@
   const ingress::RouteTableHolder& routes;
   ports::ReplicaClient& replicas;
   ingress::Forwarder& forwarder;
-  /// Versions that trainers have named, by model.
+  /// Returns the weight versions named by trainers, by model.
   std::function<std::map<core::ModelName, core::WeightVersion>()> named_versions;
   std::function<bool()> eligible;
-  /// What the members say of a term's holder.
+  /// Returns what the cluster members report about a term's holder.
   std::function<HolderStatus(const std::string&)> holder_status;
   const core::TimeSource& time;
   core::Metrics& metrics;
-  /// Whether the jobs' regions call for a coordinator elsewhere, and one there is alive; never
-  /// when this is empty.
+  /// Returns whether the jobs' regions require a coordinator elsewhere and such a process is alive.
+  /// Never the case if empty.
   std::function<bool()> is_preferred_elsewhere = {};
-  /// What else the holder of the term does; may be empty.
+  /// Creates the other duties of the term's holder; may be empty.
   TermDutyFactory term_duties = {};
 };
 
@@ -74,31 +75,31 @@
   Coordinator(CoordinatorInputs inputs, CoordinatorSettings settings, std::uint64_t seed);
   ~Coordinator();
   void start();
-  /// \return whether this process coordinates, which needs all replicas at once.
-  bool is_coordinating() const { return tenure_ != nullptr; }
-  /// Replaces the least time between two looks at the term.
+  /// Whether this process coordinates the jobs, and therefore needs all replicas in its directory.
+  bool is_coordinating() const { return session_ != nullptr; }
+  /// Sets the minimum interval between two reads of the term.
   void set_feed_interval(core::Duration interval) { keeper_.set_feed_interval(interval); }
   bool holds_term() const { return keeper_.held().has_value(); }
-  /// The routes, the replicas or the named versions have changed.
+  /// Must be called when the routes, the replicas or the named versions have changed.
   void on_inputs_changed();
-  /// Saves the texts in the making, gives the term up and ends all work.
+  /// Checkpoints the unfinished texts, releases the term and stops all work.
   boost::asio::awaitable<void> stop();
 
  private:
   void begin(Term term);
   void finish();
   bool is_preferred_elsewhere() const;
-  /// \return whether this process may bid for the term now.
+  /// Whether this process may bid for the term now.
   bool may_bid() const;
   void leave_if_preferred_elsewhere();
-  /// Saves the texts in the making and leaves the term to a process in a better region.
+  /// Checkpoints the unfinished texts and steps down in favor of a process in an allowed region.
   boost::asio::awaitable<void> leave();
 
   CoordinatorInputs inputs_;
   CoordinatorSettings settings_;
   TermKeeper keeper_;
-  std::shared_ptr<TermSession> tenure_;
-  core::MonotonicTime began_at_{};  ///< when the term that is held began
+  std::shared_ptr<TermSession> session_;
+  core::MonotonicTime began_at_{};  ///< when the current term began
   bool leaving_ = false;
 };
 
--- a/src/jobs/duty_fence.cpp
+++ b/src/jobs/duty_fence.cpp
@@ -3,7 +3,7 @@
 namespace stoneport::jobs {
 namespace asio = boost::asio;
 namespace {
-/// When a call for a subject was last announced, by the store's time; a key a subject.
+/// When a call for a subject was last announced, by the store's time; one key per subject.
 constexpr std::string_view kDutyTable = "stoneport-duty";
 }  // namespace
 
@@ -25,9 +25,9 @@
   const core::MonotonicTime now = time_.now();
   for (const ports::Record& record : *announced) {
     const core::Duration age = age_of(record.value, store_.now());
-    quiet_until_[record.key] = now + settings_.pause - age;
+    blocked_until_[record.key] = now + settings_.pause - age;
   }
-  learned_ = true;
+  announcements_loaded_ = true;
   co_return true;
 }
 
@@ -48,9 +48,9 @@
 }
 
 bool DutyFence::is_open(const std::string& subject) const {
-  const auto quiet = quiet_until_.find(subject);
-  const bool is_quiet = quiet != quiet_until_.end() && time_.now() < quiet->second;
-  return learned_ && !is_quiet && context_.is_sure();
+  const auto quiet = blocked_until_.find(subject);
+  const bool is_quiet = quiet != blocked_until_.end() && time_.now() < quiet->second;
+  return announcements_loaded_ && !is_quiet && context_.is_sure();
 }
 
 bool DutyFence::may_call(const std::string& subject) const {
--- a/src/jobs/duty_fence.hpp
+++ b/src/jobs/duty_fence.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Keeps the calls of two holders of a duty apart by the lease time. A holder announces each
-/// call in the store before it sends it, on the condition that its term holds; a later holder
-/// reads the announcements and keeps quiet until a call of the former one can arrive no more.
-/// Belongs to the coordinator's thread, for one term.
+/// Separates the calls of two successive holders of a duty by the lease time. A holder announces
+/// each call in the store before sending it, on the condition that its term still holds; the next
+/// holder reads the announcements and sends nothing until no call of the previous one can still
+/// arrive. Used from the coordinator's thread, for one term.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,31 +15,32 @@
 namespace stoneport::jobs {
 
 struct DutyFenceSettings {
-  /// No call within this time of another holder's announcement: the lease time and the time
-  /// that an announced call may take to arrive.
+  /// No call is sent within this time of another holder's announcement: the lease time plus the
+  /// time that an announced call may take to arrive.
   core::Duration pause = std::chrono::milliseconds(3700);
-  /// An announcement covers calls that are sent within this time of it.
+  /// Time for which an announcement covers calls sent after it.
   core::Duration announcement_validity = std::chrono::milliseconds(800);
 };
 
 class DutyFence {
  public:
-  /// All outlive the fence.
+  /// All arguments must outlive the fence.
   DutyFence(ports::RecordStore& store, JobStore& reader, TermContext context,
             const core::TimeSource& time, DutyFenceSettings settings);
 
-  /// Reads what former holders have announced. \return whether the store told it.
+  /// Reads the announcements of previous holders. \return whether the store answered.
   boost::asio::awaitable<bool> learn();
-  /// \return the write that announces a call for \p subject, to go into a transaction that is
+  /// \return the write that announces a call for \p subject; it belongs in a transaction that is
   /// conditional on the term.
   ports::RecordWrite announcement(const std::string& subject) const;
-  /// A transaction with that write, sent then, has been confirmed.
+  /// Records that a transaction with that write, sent at \p sent_at, was confirmed.
   void on_announced(const std::string& subject, core::MonotonicTime sent_at);
-  /// Whether calls for \p subject may be announced: those of a former holder are over.
+  /// Whether calls for \p subject may be announced, because those of a previous holder have
+  /// expired.
   bool is_open(const std::string& subject) const;
   /// Whether a call for \p subject may be sent now.
   bool may_call(const std::string& subject) const;
-  /// \return a transaction under the term, without writes.
+  /// \return a transaction that is conditional on the term and has no writes yet.
   ports::RecordTransaction transaction() const;
   const TermContext& context() const { return context_; }
 
@@ -49,8 +50,8 @@
   TermContext context_;
   const core::TimeSource& time_;
   DutyFenceSettings settings_;
-  bool learned_ = false;
-  std::map<std::string, core::MonotonicTime> quiet_until_;  ///< by subject
+  bool announcements_loaded_ = false;
+  std::map<std::string, core::MonotonicTime> blocked_until_;  ///< by subject
   std::map<std::string, core::MonotonicTime> announced_at_;
 };
 
--- a/src/jobs/item_dispatcher.cpp
+++ b/src/jobs/item_dispatcher.cpp
@@ -9,22 +9,23 @@
 namespace stoneport::jobs {
 namespace asio = boost::asio;
 namespace {
-/// Answers of failure after which an item is given up, in the attempts of its route,
-/// where fewer replicas than that have failed it.
+/// Number of failures after which an item is given up, in multiples of its route's attempts, if
+/// fewer replicas than that have failed it.
 constexpr std::uint32_t kMostRoundsOfFailures = 2;
 
-/// The client returns a stream that was cut as a broken one, and a connection as one that was
-/// not made: the replica is to blame for neither. Two moves in a row would eject it otherwise.
-AttemptEnd end_of_cut(const AttemptEnd& end) {
+/// The client reports a cancelled stream as broken, and a cancelled connection attempt as
+/// unreachable, neither of which is the replica's fault. Otherwise two moves in a row would eject
+/// the replica.
+AttemptEnd end_of_cancelled(const AttemptEnd& end) {
   const bool is_of_cut = end.kind == AttemptEndKind::kBroken ||
                          (end.kind == AttemptEndKind::kNotRun && end.unreachable);
   if (!is_of_cut) {
     return end;
   }
-  AttemptEnd cut;
-  cut.reason = end.reason;
-  cut.version = end.version;
-  return cut;
+  AttemptEnd cancelled;
+  cancelled.reason = end.reason;
+  cancelled.version = end.version;
+  return cancelled;
 }
 }  // namespace
 
@@ -63,7 +64,7 @@
   if (!fits || !replica.accepts_work()) {
     return false;
   }
-  // A cold or reserved one takes texts again in a moment: it counts, as closed.
+  // A cold or reserved replica accepts texts again shortly: it is included, as closed.
   const auto bar = objection(job, replica, now);
   return !bar || bar == eligibility::Objection::kColdPace ||
          bar == eligibility::Objection::kReserved;
@@ -92,7 +93,7 @@
   };
   std::vector<ingress::ReplicaPointer> usable;
   for (const ingress::RouteTarget& target : job.route->targets) {
-    // Where the first version is too old, only those that have loaded another can do.
+    // If the first version is too old, only replicas that have loaded another one qualify.
     const bool needs_later = job.job.oldest_version > ingress::kFirstVersion;
     const auto is_of_target = [&](const ingress::ReplicaState& replica) {
       return replica.record.service == target.service && may_make(replica);
@@ -187,10 +188,10 @@
       self->inputs_.replicas, std::move(target), self->item_call(*job, job->job.items[run->item]),
       job->items[run->item].text, rules, std::move(on_event));
   const std::optional<AttemptEnd> end =
-      co_await runtime::run_cancellable(std::move(task), run->cut);
+      co_await runtime::run_cancellable(std::move(task), run->cancel);
   const AttemptEnd ended = end.value_or(AttemptEnd());
   co_await settle(self, run, ended);
-  self->on_end(run, run->is_cut ? end_of_cut(ended) : ended);
+  self->on_end(run, run->is_cancelled ? end_of_cancelled(ended) : ended);
 }
 
 void ItemDispatcher::on_event(Run& run) {
@@ -199,7 +200,7 @@
   if (run.events_made > 0) {
     run.job->items[run.item].silent_moves = 0;
   }
-  // How fast it is while cold says nothing of it when warm.
+  // The speed of a cold replica is no indication of its speed when warm.
   if (run.events_made > 0 && !is_cold(*run.replica, now)) {
     const Occupancy taken{work_[replica.id].running, replica.slots};
     speeds_.note_event(replica.id, replica.service, taken, now - run.last_event, now);
@@ -216,29 +217,29 @@
   if (end.version) {
     inputs_.directory.note_version(run->replica, run->job->job.model, *end.version);
   }
-  if (run->job->over) {
+  if (run->job->is_closed) {
     return;
   }
-  if (end.kind == AttemptEndKind::kWhole) {
+  if (end.kind == AttemptEndKind::kComplete) {
     meters_->whole.Increment();
     run->replica->note_success(inputs_.time.now());
-    note_whole(*run);
-    listener_.on_whole(run->job, run->item);
+    record_complete(*run);
+    listener_.on_complete(run->job, run->item);
   } else {
     requeue(run, end);
   }
   listener_.on_change();
 }
 
-void ItemDispatcher::note_whole(const Run& run) {
+void ItemDispatcher::record_complete(const Run& run) {
   ItemProgress& item = run.job->items[run.item];
   item.state = ItemState::kScoring;
   item.made_at = MadeAt{run.replica->record.id, inputs_.time.now() - run.began, run.events_made};
-  length_estimators_[run.job->job.model].note_whole(run.job->job.items[run.item].expected_tokens,
-                                                    item.text.events.size());
+  length_estimators_[run.job->job.model].record_complete(
+      run.job->job.items[run.item].expected_tokens, item.text.events.size());
 }
 
-/// Keeps a replica that did not do its part from the next texts for a while.
+/// Withholds the next texts for a while from a replica that failed or refused one.
 void ItemDispatcher::note_replica(const Run& run, const AttemptEnd& end) {
   const core::MonotonicTime now = inputs_.time.now();
   const bool refused = end.kind == AttemptEndKind::kNotRun || end.kind == AttemptEndKind::kGone;
@@ -248,7 +249,7 @@
   const bool failed_run =
       end.kind == AttemptEndKind::kFailedAnswer || end.kind == AttemptEndKind::kBroken;
   const bool fell_silent =
-      end.kind == AttemptEndKind::kCut && run.fell_silent && !is_cold(*run.replica, now);
+      end.kind == AttemptEndKind::kCancelled && run.fell_silent && !is_cold(*run.replica, now);
   if ((failed_run && !end.stale_connection) || fell_silent) {
     if (run.replica->note_failed_run(now)) {
       meters_->ejected.Increment();
@@ -259,7 +260,8 @@
   }
 }
 
-/// A replica may fail whatever it runs, so it takes several to condemn an item.
+/// A faulty replica may fail everything that it runs, so an item is given up only after several
+/// replicas have failed it.
 bool ItemDispatcher::has_failed_too_often(const ItemProgress& item, std::uint32_t most_attempts) {
   return item.failed_at.size() >= most_attempts ||
          item.failed_answers >= most_attempts * kMostRoundsOfFailures;
@@ -297,12 +299,12 @@
 void ItemDispatcher::move(Run& run, std::string reason) {
   run.move_reason = std::move(reason);
   meters_->moved.Increment();
-  cut(run);
+  cancel(run);
 }
 
-void ItemDispatcher::cut(Run& run) {
-  run.is_cut = true;
-  run.cut.emit(asio::cancellation_type::terminal);
+void ItemDispatcher::cancel(Run& run) {
+  run.is_cancelled = true;
+  run.cancel.emit(asio::cancellation_type::terminal);
 }
 
 void ItemDispatcher::reset_silence() {
@@ -312,11 +314,11 @@
   }
 }
 
-void ItemDispatcher::cut(const OpenJobPointer& job) {
+void ItemDispatcher::cancel(const OpenJobPointer& job) {
   const std::list<RunPointer> runs = runs_;
   for (const RunPointer& run : runs) {
     if (!job || run->job == job) {
-      cut(*run);
+      cancel(*run);
     }
   }
 }
--- a/src/jobs/item_dispatcher_meters.hpp
+++ b/src/jobs/item_dispatcher_meters.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What ItemDispatcher counts; for its own files.
+/// Metrics of ItemDispatcher; included by its own sources only.
 #pragma once
 
 #include "jobs/item_dispatcher.hpp"
@@ -8,24 +8,25 @@
 
 struct ItemDispatcher::Meters {
   explicit Meters(core::Metrics& metrics)
-      : running(metrics.gauge("stoneport_running_texts", "Texts that replicas make now")),
+      : running(metrics.gauge("stoneport_running_texts", "Texts that replicas are generating")),
         moved(metrics.counter("stoneport_texts_moved_total",
-                              "Texts taken from a slow or silent replica")),
+                              "Texts moved away from a slow or silent replica")),
         ejected(metrics.counter("stoneport_text_replica_ejections_total",
-                                "Replicas left out for a while because they failed texts")),
+                                "Replicas ejected temporarily because they failed texts")),
         held_for_cold(metrics.counter(
             "stoneport_texts_held_for_cold_total",
-            "Times that texts found no place while replicas took no more as cold ones bear")),
+            "Times that texts could not be placed because cold replicas were at their rate limit")),
         deferred(metrics.counter(
             "stoneport_steps_put_behind_total",
-            "Jobs that were put behind others of their rank as not all can be whole in time")),
+            "Jobs deferred behind others of their rank because not all can complete in time")),
         met(metrics.counter("stoneport_steps_ended_total",
-                            "Jobs that ended, by whether their wanted groups were whole in time",
+                            "Jobs that ended, by whether their wanted groups were complete in time",
                             {{"result", "met"}})),
-        missed(metrics.counter("stoneport_steps_ended_total",
-                               "Jobs that ended, by whether their wanted groups were whole in time",
-                               {{"result", "missed"}})),
-        whole(metrics.counter("stoneport_texts_whole_total", "Texts that were made whole")) {}
+        missed(
+            metrics.counter("stoneport_steps_ended_total",
+                            "Jobs that ended, by whether their wanted groups were complete in time",
+                            {{"result", "missed"}})),
+        whole(metrics.counter("stoneport_texts_whole_total", "Texts completed")) {}
   prometheus::Gauge& running;
   prometheus::Counter& moved;
   prometheus::Counter& ejected;
--- a/src/jobs/item_dispatcher_moves.cpp
+++ b/src/jobs/item_dispatcher_moves.cpp
@@ -1,4 +1,4 @@
-// The part of ItemDispatcher that takes texts away from replicas that fall silent or turn slow.
+// ItemDispatcher: moves texts away from silent and slow replicas.
 #include <fmt/format.h>
 
 #include "jobs/item_dispatcher.hpp"
@@ -7,12 +7,12 @@
 namespace asio = boost::asio;
 namespace {
 constexpr double kMillisecondsPerSecond = 1000;
-/// Two replicas may be silent; a text that is moved more often may take longer by itself, as for
-/// reading its prompt, and gets twice the time with each move.
+/// Two replicas in a row may be silent. A text that is moved more often may just take long, for
+/// example to process its prompt, and is allowed twice the silence with each further move.
 constexpr std::uint32_t kMovesBeforeDoubling = 1;
 constexpr std::uint32_t kMostDoublings = 8;
 
-std::int64_t patience_factor(const ItemProgress& item) {
+std::int64_t silence_factor(const ItemProgress& item) {
   const std::uint32_t doublings =
       item.silent_moves - std::min(item.silent_moves, kMovesBeforeDoubling);
   return std::int64_t{1} << std::min(doublings, kMostDoublings);
@@ -32,7 +32,7 @@
 std::map<OpenJob*, ItemDispatcher::JobView> ItemDispatcher::views_of_runs(core::MonotonicTime now) {
   std::map<OpenJob*, JobView> views;
   for (const RunPointer& run : runs_) {
-    const bool is_known = run->job->over || views.contains(run->job.get());
+    const bool is_known = run->job->is_closed || views.contains(run->job.get());
     if (!is_known) {
       views.emplace(run->job.get(), view_of(run->job, now));
     }
@@ -40,7 +40,7 @@
   return views;
 }
 
-/// \return a replica of \p view with room that is not the one \p run is on.
+/// \return a replica of \p view with a free slot other than that of \p run.
 std::optional<std::size_t> ItemDispatcher::place_elsewhere(const Run& run, const JobView& view,
                                                            const PlacementSettings& settings) {
   std::vector<ReplicaLoad> elsewhere = view.loads;
@@ -57,14 +57,14 @@
   const core::ReplicaId& id = run.replica->record.id;
   const core::Duration in_gaps =
       core::from_seconds(core::to_seconds(usual_gap) * settings_.silence_gap_factor);
-  core::Duration patience = std::max(settings_.min_silence, in_gaps);
+  core::Duration allowed_silence = std::max(settings_.min_silence, in_gaps);
   if (inputs_.is_loading(id, run.job->job.model)) {
-    patience = std::max(patience, settings_.loading_silence);
+    allowed_silence = std::max(allowed_silence, settings_.loading_silence);
   }
   if (is_cold(*run.replica, now)) {
-    patience = std::max(patience, settings_.cold_silence);
+    allowed_silence = std::max(allowed_silence, settings_.cold_silence);
   }
-  if (now - run.last_event <= patience * patience_factor(run.job->items[run.item])) {
+  if (now - run.last_event <= allowed_silence * silence_factor(run.job->items[run.item])) {
     return false;
   }
   run.replica->suspect(now, settings_.suspicion);
@@ -72,12 +72,13 @@
   return true;
 }
 
-/// A move must not end in a queue.
+/// Moves a silent text only if another replica has a free slot, so that it does not wait in the
+/// queue.
 void ItemDispatcher::move_from_silent_replicas(core::MonotonicTime now) {
   const core::Duration usual_gap = median_gap(now);
   const std::list<RunPointer> runs = runs_;
   for (const RunPointer& run : runs) {
-    const bool may_move = run->move_reason.empty() && !run->job->over;
+    const bool may_move = run->move_reason.empty() && !run->job->is_closed;
     if (!may_move || !is_silent(*run, now, usual_gap)) {
       continue;
     }
@@ -106,11 +107,11 @@
   move.run = run;
   move.here = speeds_.event_gap(replica.id, {work->second.running, replica.slots}, now);
   const core::Duration fastest = fastest_gap_with_room(view.loads);
-  const LengthEstimator& law = length_estimator_of(*run->job);
-  if (fastest >= move.here || !law.is_known()) {
-    return std::nullopt;  // most texts end here; what follows costs more
+  const LengthEstimator& estimator = length_estimator_of(*run->job);
+  if (fastest >= move.here || !estimator.is_known()) {
+    return std::nullopt;  // most texts end here; what follows is more expensive
   }
-  const double rest = law.median_remaining(run->job->evidence_of(run->item));
+  const double rest = estimator.median_remaining(run->job->evidence_of(run->item));
   if (!gain_of_move(rest, move.here, fastest, settings_.moves)) {
     return std::nullopt;
   }
--- a/src/jobs/item_dispatcher_placement.cpp
+++ b/src/jobs/item_dispatcher_placement.cpp
@@ -1,4 +1,4 @@
-// The part of ItemDispatcher that places what is queued.
+// ItemDispatcher: places queued items.
 #include <tuple>
 
 #include "jobs/item_dispatcher.hpp"
@@ -28,7 +28,7 @@
     for (const OpenJobPointer& job : equals) {
       views.push_back(view_of(job, now));
     }
-    place_all(std::move(views), now);
+    place_queued(std::move(views), now);
   }
   meters_->running.Set(static_cast<double>(runs_.size()));
 }
@@ -45,7 +45,7 @@
   return view;
 }
 
-void ItemDispatcher::place_all(std::vector<JobView> views, core::MonotonicTime now) {
+void ItemDispatcher::place_queued(std::vector<JobView> views, core::MonotonicTime now) {
   for (JobView& view : views) {
     if (view.job->order_is_stale) {
       view.job->make_start_order(length_estimator_of(*view.job));
@@ -106,7 +106,7 @@
     if (is_held) {
       meters_->held_for_cold.Increment();
     }
-    // Replicas that have not failed it may have room for the others.
+    // Replicas that have not failed it may have free slots for the others.
     return !item.failed_at.empty();
   }
   const core::ReplicaId replica = view.loads[*chosen].id;
@@ -126,16 +126,16 @@
 }
 
 bool ItemDispatcher::is_long(const JobView& view, std::size_t item) {
-  const LengthEstimator& law = length_estimator_of(*view.job);
-  if (!law.is_known()) {
+  const LengthEstimator& estimator = length_estimator_of(*view.job);
+  if (!estimator.is_known()) {
     return false;
   }
-  const double rest = law.median_remaining(view.job->evidence_of(item));
+  const double rest = estimator.median_remaining(view.job->evidence_of(item));
   const double allowed = core::to_seconds(view.job->route->run_deadline);
   return rest * core::to_seconds(view.median) >= settings_.placement.long_share * allowed;
 }
 
-/// One text more runs on \p replica.
+/// Counts one more text on \p replica.
 void ItemDispatcher::count_text(JobView& view, const core::ReplicaId& replica, bool is_long,
                                 core::MonotonicTime now) const {
   for (std::size_t index = 0; index < view.loads.size(); ++index) {
--- a/src/jobs/item_dispatcher_steps.cpp
+++ b/src/jobs/item_dispatcher_steps.cpp
@@ -1,4 +1,4 @@
-// The part of ItemDispatcher that finds out which jobs can be whole in time.
+// ItemDispatcher: decides which jobs can be completed in time.
 #include "core/decision_log.hpp"
 #include "jobs/item_dispatcher.hpp"
 #include "jobs/item_dispatcher_meters.hpp"
@@ -7,22 +7,22 @@
 namespace {
 constexpr double kMillisecondsPerSecond = 1000;
 
-/// Jobs of one tenant that train one model come from one trainer.
+/// Jobs of one tenant that train one model are attributed to one trainer.
 std::string trainer_of(const OpenJob& job) {
   return job.entry.tenant.value() + " " + job.job.host + " " + job.job.model.value();
 }
 }  // namespace
 
-/// \return the replicas of \p view that make texts, with what each makes when full.
+/// \return the replicas of \p view that can generate texts, with the throughput of each when full.
 std::vector<ReplicaRate> ItemDispatcher::rates_of(const JobView& view,
                                                   core::MonotonicTime now) const {
   std::vector<ReplicaRate> rates;
   const bool is_sample = view.replicas.size() >= replicas_compared(*view.job);
   if (is_sample || view.median == core::Duration(0)) {
-    return rates;  // so many have room, or nothing is known of their speed
+    return rates;  // so many have free slots, or their speed is unknown
   }
   for (const ReplicaLoad& load : view.loads) {
-    // A full one refuses more, and still makes what it has.
+    // A full replica refuses further texts, but still generates those that it has.
     if (load.closed && load.running == 0) {
       continue;
     }
@@ -84,7 +84,7 @@
   for (const OpenJobPointer& job : jobs) {
     const StepPlan plan = decision.places[job->job.id].plan;
     job->set_order(start_order_of(plan));
-    // Which groups lack least changes with each event.
+    // The remaining work of each group changes with every event.
     job->order_is_stale |= plan != StepPlan::kUsual;
   }
   note_decision(decision);
--- a/src/jobs/item_dispatcher_suspects.cpp
+++ b/src/jobs/item_dispatcher_suspects.cpp
@@ -1,4 +1,4 @@
-// The part of ItemDispatcher that deals with texts under which replicas ended.
+// ItemDispatcher: handles texts under which replicas terminated.
 #include <algorithm>
 
 #include "jobs/item_dispatcher.hpp"
@@ -7,7 +7,7 @@
 namespace stoneport::jobs {
 namespace asio = boost::asio;
 namespace {
-/// Between two looks at a text that must not run: the guard may be told to let it go.
+/// Interval at which a text that must not run is checked again, because the guard may release it.
 constexpr core::Duration kHeldLook = std::chrono::milliseconds(500);
 
 bool contains(const std::vector<ingress::ReplicaPointer>& replicas, const core::ReplicaId& id) {
@@ -36,7 +36,7 @@
   for (ReplicaLoad& load : loads) {
     const bool is_allowed =
         admission.kind == ingress::AdmissionKind::kFree || contains(admission.allowed, load.id);
-    // The replica that is kept for a text that runs alone is closed to all others.
+    // The replica that is reserved for a text that runs alone is closed to all others.
     load.closed = !is_allowed || (load.closed && !admission.is_alone);
   }
   const std::optional<std::size_t> chosen =
@@ -52,11 +52,11 @@
 asio::awaitable<void> ItemDispatcher::settle(std::shared_ptr<ItemDispatcher> self, RunPointer run,
                                              AttemptEnd end) {
   const OpenJob& job = *run->job;
-  if (end.kind == AttemptEndKind::kWhole) {
+  if (end.kind == AttemptEndKind::kComplete) {
     self->inputs_.guard.note_served(content_of(job, run->item));
   }
   const bool may_have_ended = end.kind == AttemptEndKind::kBroken && !end.unreachable;
-  if (may_have_ended && !run->is_cut) {
+  if (may_have_ended && !run->is_cancelled) {
     co_await self->inputs_.guard.settle_broken(content_of(job, run->item),
                                                job.job.items[run->item].id, run->replica);
   }
--- a/src/jobs/item_text.hpp
+++ b/src/jobs/item_text.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The text of an item as it grows: its events, and the weight version of each. Plain
-/// state of the coordinator's thread.
+/// The text of an item while it is generated: its events and the weight version of each. Used from
+/// the coordinator's thread only.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 
 namespace stoneport::jobs {
 
-/// The events of one text, over all replicas that made them.
+/// Events of one text, from all replicas that generated a part of it.
 struct ItemText {
-  std::uint32_t lineage = 0;  ///< grows each time a text is begun anew
+  std::uint32_t lineage = 0;  ///< incremented each time the text is restarted from the beginning
   std::vector<std::string> events;
   std::vector<std::uint64_t> versions;  ///< of each event
-  std::uint64_t checkpointed = 0;       ///< events that the store holds
+  std::uint64_t checkpointed = 0;       ///< number of events that the store holds
 
   void discard();
-  /// Goes on from \p checkpoints of one item, in order of key: the longest whole
-  /// start of the newest lineage.
+  /// Restores the text from the \p checkpoints of one item, given in key order: the longest gapless
+  /// prefix of the newest lineage.
   void restore(const std::vector<Checkpoint>& checkpoints);
   std::string joined() const;
-  /// \return each version once, rising.
+  /// \return each version once, in ascending order.
   std::vector<std::uint64_t> distinct_versions() const;
 };
 
--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Batch jobs as plain values: what was submitted, and the results.
+/// Value types of batch jobs: submissions, items, results and checkpoints.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace stoneport::jobs {
 
-/// A call that rates a whole text; its answer's signature is the text's score.
+/// Call that rates a complete text; the signature in its answer is the text's score.
 struct ScoringCall {
   std::string request_id;
   std::string host;
@@ -27,54 +27,55 @@
   std::string path;
   http::HeaderMap headers;
   std::string body;
-  std::uint64_t expected_tokens = 0;  ///< the client's guess of the tokens made; zero unknown
-  std::string group;                  ///< items of a group share their prompt
+  std::uint64_t expected_tokens =
+      0;              ///< client's estimate of the generated tokens; zero if unknown
+  std::string group;  ///< items of a group share their prompt
   std::optional<ScoringCall> scoring;
 };
 
 struct Job {
   std::string id;
   std::string host;
-  std::string path;  ///< that it was submitted to; its route is found by it
+  std::string path;  ///< path of the submission, by which its route is found
   core::ModelName model;
-  core::WeightVersion oldest_version;  ///< of the weights that may make its texts
+  core::WeightVersion oldest_version;  ///< minimum weight version that may generate its texts
   std::uint32_t wanted_groups = 0;
   std::vector<JobItem> items;
 };
 
-/// A job as it arrives: its body is kept as it came and parsed where it runs.
+/// A job as submitted: the body is stored unparsed, and parsed by the coordinator.
 struct JobSubmission {
   std::string id;
   std::string host;
   std::string path;
   std::string body;
-  core::TenantName tenant = {};  ///< whose job it is; empty where requests need no key
+  core::TenantName tenant = {};  ///< owner; empty where requests need no API key
 };
 
-/// Reads the body of a submission.
+/// Parses the body of a submission.
 class JobParser {
  public:
   virtual ~JobParser() = default;
-  /// \return kInvalidArgument for a body that is no job.
+  /// \return kInvalidArgument if the body is not a valid job.
   virtual core::Result<Job> parse(const JobSubmission& submission) const = 0;
 };
 
 enum class ResultState { kCompleted, kTerminated };
 
-/// One entry of a job's list. Once listed, its position and content stay.
+/// One entry of a job's result list. Its position and content never change once it is listed.
 struct JobResult {
   std::string item;
   ResultState state = ResultState::kCompleted;
   std::string text;
-  std::vector<std::uint64_t> versions;  ///< every weight version that made an event, rising
+  std::vector<std::uint64_t> versions;  ///< weight versions that generated events, ascending
   std::string score;
 };
 
-/// Events that were made of an item's text, to go on from after a take-over.
+/// Events of an unfinished text, stored so that it can be resumed after a takeover.
 struct Checkpoint {
   std::string item;
-  std::uint32_t lineage = 0;      ///< a text begun anew has a higher one
-  std::uint64_t first_event = 0;  ///< number of the first event held
+  std::uint32_t lineage = 0;      ///< higher for a text that was restarted
+  std::uint64_t first_event = 0;  ///< index of the first event held
   std::vector<std::string> events;
   std::vector<std::uint64_t> versions;  ///< of each event
 };
--- a/src/jobs/job_adoption.hpp
+++ b/src/jobs/job_adoption.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Reads a job from the store as a coordinator needs it: the submission, what is
-/// listed, and the texts begun by an earlier coordinator.
+/// Loads a job from the store for a coordinator: the submission, the listed results, and the
+/// checkpoints of texts that a previous coordinator started.
 #pragma once
 
 #include "jobs/job_store.hpp"
@@ -8,9 +8,10 @@
 
 namespace stoneport::jobs {
 
-/// \param is_fresh accepted in the present term: nothing else can be there yet
-/// \return the job, its items queued or listed; kInvalidArgument when its body is
-/// no job, kUnavailable when the store does not answer.
+/// \param is_fresh whether the job was accepted in the present term, so that no results or
+/// checkpoints can exist yet
+/// \return the job with its items queued or listed; kInvalidArgument if its body is not a valid
+/// job, kUnavailable if the store does not answer.
 boost::asio::awaitable<core::Result<OpenJobPointer>> adopt_job(JobStore& store,
                                                                const JobParser& parser,
                                                                std::string job, JobIndexEntry entry,
--- a/src/jobs/job_records.cpp
+++ b/src/jobs/job_records.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view kEndedSuffix = "/ended";
-/// The first sign after '/' in the order of bytes.
+/// The next byte after '/'.
 constexpr char kAfterSlash = '0';
 constexpr std::size_t kLongestId = 100;
 
@@ -46,7 +46,7 @@
   return result;
 }
 
-/// Position, chunk and number of chunks that a result's key names.
+/// Position, chunk and number of chunks in a result's key.
 struct ResultPlace {
   std::uint64_t position = 0;
   std::uint64_t chunk = 0;
@@ -70,7 +70,7 @@
   return ResultPlace{*position, *chunk};
 }
 
-/// The first chunk of a result starts with the number of its chunks and a colon.
+/// Removes the number of chunks, which precedes a colon at the start of a result's first chunk.
 std::optional<std::uint64_t> take_chunk_count(std::string& first_chunk) {
   const std::size_t colon = first_chunk.find(':');
   if (colon == std::string::npos) {
--- a/src/jobs/job_store.cpp
+++ b/src/jobs/job_store.cpp
@@ -8,9 +8,9 @@
 
 constexpr std::size_t kMostKnownJobs = 4096;
 constexpr std::size_t kMostBodies = 4;
-/// Of the largest transaction: room for keys, conditions and the encoding.
+/// Usable fraction of the largest transaction; the rest is for keys, conditions and the encoding.
 constexpr double kUsableShare = 0.7;
-/// Entries of a transaction that the index record and its condition take.
+/// Entries of a transaction for the index record and its condition.
 constexpr std::size_t kIndexEntries = 2;
 constexpr core::Duration kPollInterval = std::chrono::milliseconds(150);
 constexpr core::Duration kLostStoreCheck = std::chrono::milliseconds(20);
@@ -24,7 +24,7 @@
 }
 
 core::Error store_lost() {
-  return core::make_error(core::ErrorCode::kUnavailable, "the store serves this process nothing");
+  return core::make_error(core::ErrorCode::kUnavailable, "the store does not serve this process");
 }
 
 }  // namespace
@@ -36,11 +36,12 @@
       settings_(settings),
       write_timeout_(settings.attempt),
       read_timeout_(settings.attempt),
-      accepted_(metrics.counter("stoneport_jobs_accepted_total", "Jobs that became durable here")),
+      accepted_(
+          metrics.counter("stoneport_jobs_accepted_total", "Jobs made durable by this process")),
       unclear_(metrics.counter("stoneport_jobs_unclear_total",
-                               "Acceptances whose outcome stayed unknown")),
+                               "Job submissions whose outcome is unknown")),
       stale_reads_(metrics.counter("stoneport_job_stale_reads_total",
-                                   "Answers of the store older than what was known")) {}
+                                   "Stale answers of the store that were rejected")) {}
 
 void JobStore::remember(const std::string& job, const JobIndexEntry& entry) {
   if (!known_.emplace(job, entry).second) {
@@ -103,8 +104,8 @@
   return transaction;
 }
 
-/// Writes all chunks but those that still fit beside the index record. They mean
-/// nothing until that record is there.
+/// Writes all chunks except those that still fit beside the index record. They have no effect until
+/// that record exists.
 asio::awaitable<core::Result<void>> JobStore::write_ahead(const std::string& job,
                                                           std::vector<ports::RecordWrite>& chunks) {
   const ports::RecordStoreLimits limits = store_.limits();
@@ -153,11 +154,11 @@
         {std::string(kIndexTable), job_key(submission.id), encode_index_entry(entry)});
     committed = co_await commit_once(std::move(transaction));
   } else if (committed.error().code == core::ErrorCode::kOutcomeUnknown) {
-    // Without its index record the job surely does not exist.
+    // Without its index record the job does not exist.
     committed = core::make_error(core::ErrorCode::kUnavailable, committed.error().message);
   }
-  // A conflict means that the job is there: by an earlier call, or by an earlier
-  // attempt of this one whose answer was lost.
+  // A conflict means that the job exists already: by an earlier call, or by an earlier attempt of
+  // this one whose answer was lost.
   if (!committed && committed.error().code == core::ErrorCode::kConflict) {
     committed = co_await confirm_earlier(submission);
   }
@@ -174,7 +175,7 @@
 asio::awaitable<core::Result<void>> JobStore::confirm_earlier(const JobSubmission& submission) {
   const core::Result<JobIndexEntry> entry = co_await find(submission.id);
   if (!entry) {
-    // The job exists: nothing here may say that it never will.
+    // The job exists, so the error must not claim that it never will.
     co_return core::make_error(core::ErrorCode::kOutcomeUnknown, entry.error().message);
   }
   if (!can_access(*entry, submission.tenant)) {
@@ -326,7 +327,7 @@
     co_return records.error();
   }
   if (records->size() != entry->body_chunks) {
-    co_return core::make_error(core::ErrorCode::kUnavailable, "the job's body is not whole");
+    co_return core::make_error(core::ErrorCode::kUnavailable, "the job's body is incomplete");
   }
   JobSubmission submission;
   submission.id = job;
--- a/src/jobs/length_estimator.cpp
+++ b/src/jobs/length_estimator.cpp
@@ -1,26 +1,26 @@
+#include "jobs/length_estimator.hpp"
+
 #include <algorithm>
 #include <boost/math/distributions/normal.hpp>
 #include <cmath>
 
-#include "jobs/length_estimator.hpp"
-
 namespace stoneport::jobs {
 namespace {
 
-/// Whole texts after which the law is used.
+/// Number of complete texts after which the distribution is used.
 constexpr std::uint64_t kFewestTexts = 20;
-/// Texts that the moving averages remember.
+/// Number of texts over which the moving averages extend.
 constexpr std::uint64_t kMemory = 300;
-/// Spread of the logarithm before it is known, and the least that is believed.
+/// Standard deviation of the logarithm before it is known, and its lower bound.
 constexpr double kLeastSpread = 0.2;
-/// A text that is not whole has at least this many events to come, and at least this
-/// share of those that it has: one beyond the law's reach may go on for long.
+/// An incomplete text has at least this many remaining events, and at least this fraction of those
+/// that it has: one beyond the range of the distribution may continue for long.
 constexpr double kLeastRest = 1;
 constexpr double kLeastRestShare = 0.1;
-/// Above this share of the law a text is longer than the law can tell.
+/// Above this quantile the distribution cannot estimate a length.
 constexpr double kLargestShare = 0.9995;
 constexpr double kMedian = 0.5;
-/// In spreads: all texts are longer than none.
+/// In standard deviations: every text is longer than zero events.
 constexpr double kFarAbove = 10;
 /// A group that is waited for may be replaced by one of the tenth of groups that are not.
 constexpr double kLongShare = 0.9;
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void LengthEstimator::note_whole(std::uint64_t guess, std::uint64_t events) {
+void LengthEstimator::record_complete(std::uint64_t guess, std::uint64_t events) {
   if (events == 0) {
     return;
   }
@@ -47,15 +47,15 @@
   return count_ >= kFewestTexts;
 }
 
-/// \return the length that \p share of the texts of that guess have at most, of those that have
-/// \p at_least events.
+/// \return the \p share quantile of the length of texts with that guess, among those that have \p
+/// at_least events.
 double LengthEstimator::quantile_of_total(const LengthEvidence& evidence, double at_least,
                                           double share) const {
   const double spread = std::max(std::sqrt(variance_), kLeastSpread);
-  const boost::math::normal law(std::log(guess_of(evidence.guess)) + mean_, spread);
-  const double below = at_least > 0 ? boost::math::cdf(law, std::log(at_least)) : 0;
+  const boost::math::normal distribution(std::log(guess_of(evidence.guess)) + mean_, spread);
+  const double below = at_least > 0 ? boost::math::cdf(distribution, std::log(at_least)) : 0;
   const double share_of_all = std::min(below + (1 - below) * share, kLargestShare);
-  return std::max(std::exp(boost::math::quantile(law, share_of_all)), at_least);
+  return std::max(std::exp(boost::math::quantile(distribution, share_of_all)), at_least);
 }
 
 double LengthEstimator::median_total(const LengthEvidence& evidence, double at_least) const {
@@ -65,7 +65,7 @@
 double LengthEstimator::median_remaining(const LengthEvidence& evidence) const {
   const auto made = static_cast<double>(evidence.made);
   const auto seen = static_cast<double>(evidence.seen);
-  if (evidence.seen_whole && evidence.seen > evidence.made) {
+  if (evidence.seen_complete && evidence.seen > evidence.made) {
     return seen - made;
   }
   if (!is_known()) {
@@ -77,7 +77,7 @@
 
 double LengthEstimator::mean_remaining(const LengthEvidence& evidence) const {
   const double median = median_remaining(evidence);
-  const bool is_told = evidence.seen_whole && evidence.seen > evidence.made;
+  const bool is_told = evidence.seen_complete && evidence.seen > evidence.made;
   if (is_told || !is_known()) {
     return median;
   }
@@ -97,7 +97,7 @@
 
 double LengthEstimator::p90_remaining(const LengthEvidence& evidence) const {
   const double median = median_remaining(evidence);
-  const bool is_told = evidence.seen_whole && evidence.seen > evidence.made;
+  const bool is_told = evidence.seen_complete && evidence.seen > evidence.made;
   if (is_told || !is_known()) {
     return median;
   }
--- a/src/jobs/length_estimator.hpp
+++ b/src/jobs/length_estimator.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// How long a text will be: what its client guessed, corrected by how guesses and
-/// lengths of whole texts have differed so far, and by the events that are there
-/// already. Plain code: observations go in, an estimate comes out.
+/// Estimates the length of a text from the client's guess, corrected by how guesses and the lengths
+/// of complete texts have differed so far, and from the events that exist already. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,28 +8,29 @@
 
 namespace stoneport::jobs {
 
-/// What is known of one text's length. Lengths are counted in events.
+/// Evidence about the length of one text. Lengths are counted in events.
 struct LengthEvidence {
-  std::uint64_t guess = 0;  ///< the client's, in units of its own; zero unknown
-  std::uint64_t made = 0;   ///< events that are there
-  std::uint64_t seen = 0;   ///< most events an earlier attempt at the same item made
-  bool seen_whole = false;  ///< that attempt was whole: the text has `seen` events
+  std::uint64_t guess = 0;     ///< the client's estimate, in its own unit; zero if unknown
+  std::uint64_t made = 0;      ///< events that exist
+  std::uint64_t seen = 0;      ///< most events that an earlier attempt at the same item generated
+  bool seen_complete = false;  ///< that attempt completed: the text has `seen` events
 };
 
-/// The law of length against guess: the logarithm of their ratio is taken as normal,
-/// with a mean and a spread that follow what is observed.
+/// Log-normal model of the ratio of length to guess, with a mean and a standard deviation that are
+/// moving averages of the observations.
 class LengthEstimator {
  public:
-  /// A whole text had \p events events.
-  void note_whole(std::uint64_t guess, std::uint64_t events);
-  /// \return whether enough texts were seen to tell a length.
+  /// Records the length of a complete text, in events.
+  void record_complete(std::uint64_t guess, std::uint64_t events);
+  /// \return whether enough texts were observed to estimate lengths.
   bool is_known() const;
-  /// \return the events that are still to come, in the median of such texts; without a
-  /// known law the guess itself, which only ranks texts.
+  /// \return the median number of remaining events; before is_known(), the guess itself, which only
+  /// serves to rank texts.
   double median_remaining(const LengthEvidence& evidence) const;
-  /// \return the same in the mean, which is what many texts add up to; long texts weigh more in it.
+  /// \return the mean number of remaining events, to be summed over many texts; larger than the
+  /// median, as long texts weigh more in it.
   double mean_remaining(const LengthEvidence& evidence) const;
-  /// \return the events within which nine of ten such texts end.
+  /// \return the 90th percentile of the remaining events.
   double p90_remaining(const LengthEvidence& evidence) const;
 
  private:
@@ -38,8 +38,8 @@
   double median_total(const LengthEvidence& evidence, double at_least) const;
 
   std::uint64_t count_ = 0;
-  double mean_ = 0;      ///< of the logarithm of events over guess
-  double variance_ = 0;  ///< of the same
+  double mean_ = 0;      ///< of log(events / guess)
+  double variance_ = 0;  ///< of log(events / guess)
 };
 
 }  // namespace stoneport::jobs
--- a/src/jobs/length_history.cpp
+++ b/src/jobs/length_history.cpp
@@ -1,7 +1,7 @@
-#include <algorithm>
-
 #include "jobs/length_history.hpp"
 
+#include <algorithm>
+
 namespace stoneport::jobs {
 
 void LengthHistory::note(const std::string& item, const ObservedLength& seen) {
--- a/src/jobs/length_history.hpp
+++ b/src/jobs/length_history.hpp
@@ -1,7 +1,5 @@
 /// \file
-/// How long the texts of earlier jobs were, by item. An item whose group comes back in a
-/// later job has the same length there. Bounded: the oldest are dropped first. Belongs to
-/// the coordinator's thread.
+/// Bounded history of how long the texts of earlier attempts at items were. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +10,21 @@
 
 namespace stoneport::jobs {
 
-/// What an earlier attempt at an item told of its text.
+/// Length of the text of an earlier attempt at an item.
 struct ObservedLength {
-  std::uint64_t events = 0;  ///< that were made
-  bool whole = false;        ///< there are no more
+  std::uint64_t events = 0;  ///< number of generated events
+  bool whole = false;        ///< whether the text was complete
 
   bool operator==(const ObservedLength&) const = default;
 };
 
 class LengthHistory {
  public:
-  /// \param most entries that are kept
+  /// \param most maximum number of entries
   explicit LengthHistory(std::size_t most = 8192) : most_(most) {}
 
-  /// Keeps what tells more: a whole text's length, else the larger one.
+  /// Records a length. Keeps the more informative one per item: that of a complete text, otherwise
+  /// the larger.
   void note(const std::string& item, const ObservedLength& seen);
   std::optional<ObservedLength> find(const std::string& item) const;
   std::size_t size() const { return by_item_.size(); }
--- a/src/jobs/open_job.cpp
+++ b/src/jobs/open_job.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Items of one prompt, and what is expected of them.
+/// Items with the same prompt, and their expected remaining work.
 struct Group {
   std::vector<std::size_t> items;
   double rest = 0;
@@ -22,20 +22,21 @@
   return left.is_whole != right.is_whole ? left.is_whole : left.rest < right.rest;
 }
 
-void add_item(Group& group, const OpenJob& open, std::size_t item, const LengthEstimator& law) {
+void add_item(Group& group, const OpenJob& open, std::size_t item,
+              const LengthEstimator& estimator) {
   group.items.push_back(item);
   const ItemState state = open.items[item].state;
   group.is_whole &= state == ItemState::kReady || state == ItemState::kListed;
   if (state == ItemState::kQueued || state == ItemState::kRunning) {
     const LengthEvidence evidence = open.evidence_of(item);
-    group.rest += law.mean_remaining(evidence);
-    group.longest = std::max(group.longest, law.median_remaining(evidence));
-    group.late_longest = std::max(group.late_longest, law.p90_remaining(evidence));
+    group.rest += estimator.mean_remaining(evidence);
+    group.longest = std::max(group.longest, estimator.median_remaining(evidence));
+    group.late_longest = std::max(group.late_longest, estimator.p90_remaining(evidence));
   }
 }
 
-/// \return the groups of \p open, the one that lacks least first.
-std::vector<Group> groups_by_rest(const OpenJob& open, const LengthEstimator& law) {
+/// \return the groups of \p open, ordered by remaining work, least first.
+std::vector<Group> groups_by_rest(const OpenJob& open, const LengthEstimator& estimator) {
   std::vector<Group> groups;
   std::unordered_map<std::string, std::size_t> by_name;
   for (std::size_t item = 0; item < open.items.size(); ++item) {
@@ -43,7 +44,7 @@
     if (is_new) {
       groups.emplace_back();
     }
-    add_item(groups[found->second], open, item, law);
+    add_item(groups[found->second], open, item, estimator);
   }
   std::stable_sort(groups.begin(), groups.end(), goes_first);
   return groups;
@@ -54,13 +55,14 @@
   return wanted == 0 ? groups : std::min(wanted, groups);
 }
 
-/// \return for each item when its turn comes; items of one turn may begin in any order.
-std::vector<std::size_t> turns_of(const OpenJob& open, const LengthEstimator& law) {
+/// \return the position of each item in the start order; items of equal position may start in any
+/// order.
+std::vector<std::size_t> turns_of(const OpenJob& open, const LengthEstimator& estimator) {
   std::vector<std::size_t> turns(open.items.size(), 0);
   if (open.order_kind == StartOrder::kLongestFirst) {
     return turns;
   }
-  const std::vector<Group> groups = groups_by_rest(open, law);
+  const std::vector<Group> groups = groups_by_rest(open, estimator);
   const std::size_t wanted = wanted_of(open.job, groups.size());
   for (std::size_t place = 0; place < groups.size(); ++place) {
     const bool has_own_turn = open.order_kind == StartOrder::kByGroup || place >= wanted;
@@ -101,7 +103,7 @@
   evidence.made = progress.text.events.size();
   if (progress.seen) {
     evidence.seen = progress.seen->events;
-    evidence.seen_whole = progress.seen->whole;
+    evidence.seen_complete = progress.seen->whole;
   }
   return evidence;
 }
@@ -111,8 +113,8 @@
   order_kind = kind;
 }
 
-StepWork OpenJob::remaining_work(const LengthEstimator& law) const {
-  const std::vector<Group> groups = groups_by_rest(*this, law);
+StepWork OpenJob::remaining_work(const LengthEstimator& estimator) const {
+  const std::vector<Group> groups = groups_by_rest(*this, estimator);
   const std::size_t wanted = wanted_of(job, groups.size());
   StepWork work;
   std::size_t whole = 0;
@@ -122,30 +124,30 @@
     work.late_longest = std::max(work.late_longest, groups[index].late_longest);
     whole += groups[index].is_whole ? 1 : 0;
   }
-  work.whole_share = wanted == 0 ? 1 : static_cast<double>(whole) / static_cast<double>(wanted);
+  work.complete_share = wanted == 0 ? 1 : static_cast<double>(whole) / static_cast<double>(wanted);
   return work;
 }
 
-void OpenJob::make_start_order(const LengthEstimator& law) {
+void OpenJob::make_start_order(const LengthEstimator& estimator) {
   start_order.resize(items.size());
   std::iota(start_order.begin(), start_order.end(), std::size_t{0});
   std::vector<double> rest(items.size());
   for (std::size_t index = 0; index < items.size(); ++index) {
-    rest[index] = law.median_remaining(evidence_of(index));
+    rest[index] = estimator.median_remaining(evidence_of(index));
   }
-  const std::vector<std::size_t> turns = turns_of(*this, law);
-  // A step ends with its longest texts, so those that are likely to be long begin
-  // first; the others keep the job's order, in which carried groups come first.
+  const std::vector<std::size_t> turns = turns_of(*this, estimator);
+  // A step ends with its longest texts, so those that are likely to be long start first; the others
+  // keep the job's order, in which resubmitted groups come first.
   std::stable_sort(start_order.begin(), start_order.end(), [&](std::size_t a, std::size_t b) {
     return turns[a] != turns[b] ? turns[a] < turns[b] : rest[a] > rest[b];
   });
   order_is_stale = false;
 }
 
-core::Duration OpenJob::latest_start(std::size_t item, const LengthEstimator& law,
+core::Duration OpenJob::latest_start(std::size_t item, const LengthEstimator& estimator,
                                      core::Duration event_gap) const {
   const core::Duration allowed = route != nullptr ? route->run_deadline : core::Duration(0);
-  const double rest = law.median_remaining(evidence_of(item)) * core::to_seconds(event_gap);
+  const double rest = estimator.median_remaining(evidence_of(item)) * core::to_seconds(event_gap);
   return entry.accepted_at + allowed - core::from_seconds(rest);
 }
 
--- a/src/jobs/order_announcer.cpp
+++ b/src/jobs/order_announcer.cpp
@@ -12,7 +12,7 @@
 namespace asio = boost::asio;
 namespace {
 constexpr core::Duration kTimeout = std::chrono::milliseconds(1000);
-/// Entries of a transaction beside the announcements: the condition on the term.
+/// Entries of a transaction besides the announcements: the condition on the term.
 constexpr std::size_t kOwnEntries = 1;
 }  // namespace
 
@@ -53,8 +53,8 @@
   announcement.partition = std::string(kTermPartition);
   announcement.conditions.push_back(
       {std::string(kTermTable), std::string(kTermKey), term_.revision});
-  // By name, as an order on its way reaches whichever life has the address; two lives of a replica
-  // are one row of the transaction.
+  // Keyed by replica name, because an order in flight reaches any incarnation at the address; two
+  // incarnations of a replica share one row of the transaction.
   std::set<std::string> names;
   for (const WaitingPointer& waiting : batch) {
     names.insert(core::replica_name(waiting->replica));
--- a/src/jobs/order_announcer.hpp
+++ b/src/jobs/order_announcer.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Makes it known to later coordinators that orders are about to go to replicas. All that are
-/// waiting are written in one transaction: the store takes few writes a second for one
-/// partition, and a new version is loaded on many replicas at once. Belongs to the
+/// Announces load orders in the store before they are sent to replicas, so that later coordinators
+/// know of them. All pending announcements go into one transaction: the store accepts few writes
+/// per second in one partition, and a new version is loaded on many replicas at once. Used from the
 /// coordinator's thread, for one term.
 #pragma once
 
@@ -20,12 +20,12 @@
 
 class OrderAnnouncer : public std::enable_shared_from_this<OrderAnnouncer> {
  public:
-  /// \param store outlives it
+  /// \param store must outlive this
   OrderAnnouncer(boost::asio::any_io_executor executor, ports::RecordStore& store, Term term,
                  const core::TimeSource& time, core::Metrics& metrics);
 
-  /// \return when the announcement was sent, once the store holds it on the condition that the
-  /// term holds; nothing when it does not, and then no order may be sent.
+  /// \return when the announcement was sent, once the store has confirmed it on the condition that
+  /// the term holds; nothing if it was not confirmed, in which case no order may be sent.
   static boost::asio::awaitable<std::optional<core::MonotonicTime>> announce(
       std::shared_ptr<OrderAnnouncer> self, core::ReplicaId replica);
 
@@ -36,7 +36,7 @@
     core::ReplicaId replica;
     boost::asio::steady_timer settled;  ///< cancelled once is_settled is set
     bool is_settled = false;
-    std::optional<core::MonotonicTime> sent_at;  ///< of what the store holds
+    std::optional<core::MonotonicTime> sent_at;  ///< send time of the confirmed write
   };
   using WaitingPointer = std::shared_ptr<Waiting>;
 
--- a/src/jobs/placement.cpp
+++ b/src/jobs/placement.cpp
@@ -5,10 +5,10 @@
 namespace stoneport::jobs {
 namespace {
 
-/// What a text pays on a replica: first the time between its events, then the crowd.
+/// Cost of a text on a replica: first its event gap, then the occupancy.
 struct Cost {
   double gap = 0;    ///< seconds
-  double share = 0;  ///< of the slots that are taken
+  double share = 0;  ///< occupied share of the slots
 
   auto operator<=>(const Cost&) const = default;
 };
--- a/src/jobs/rating_quota.cpp
+++ b/src/jobs/rating_quota.cpp
@@ -1,20 +1,21 @@
-#include <algorithm>
-
 #include "jobs/rating_quota.hpp"
 
+#include <algorithm>
+
 namespace stoneport::jobs {
 namespace {
 
-/// \return calls that one place makes one after the other in \p share of \p left; one at least, as
-/// a text that is late is rated all the same.
+/// \return the number of sequential calls that one place can make in \p share of \p left; at least
+/// one, because a late text is rated nevertheless.
 std::uint64_t calls_in(core::Duration left, double share, core::Duration call_time) {
-  // In whole microseconds: 4.8 s are 24 calls of 0.2 s, which quotients of seconds miss.
+  // In whole microseconds: 4.8 s hold 24 calls of 0.2 s, but the quotient of the rounded seconds is
+  // below 24.
   const double calls =
       static_cast<double>(left.count()) * share / static_cast<double>(call_time.count());
   return calls < 1 ? 1 : static_cast<std::uint64_t>(calls);
 }
 
-/// \return the places with which each text is rated within \p share of its time.
+/// \return the number of places needed to rate each text within \p share of its time.
 std::uint64_t places_needed(const std::vector<core::Duration>& time_left, double share,
                             core::Duration call_time) {
   std::uint64_t needed = 0;
@@ -29,12 +30,12 @@
 
 }  // namespace
 
-bool may_start_before(const RatingPriority& claim, const RatingPriority& first,
+bool may_start_before(const RatingPriority& priority, const RatingPriority& first,
                       core::Duration same_step) {
-  if (claim.rank != first.rank) {
-    return claim.rank < first.rank;
+  if (priority.rank != first.rank) {
+    return priority.rank < first.rank;
   }
-  return claim.due <= first.due + same_step;
+  return priority.due <= first.due + same_step;
 }
 
 bool is_crowded(const ingress::LoadCounts& recent, const RatingQuotaSettings& settings) {
--- a/src/jobs/record_sweeper.cpp
+++ b/src/jobs/record_sweeper.cpp
@@ -35,7 +35,7 @@
       jobs_(jobs),
       term_(term),
       removed_(metrics.counter("stoneport_job_records_removed_total",
-                               "Records of old jobs that were removed")) {}
+                               "Records removed after their job's retention period")) {}
 
 asio::awaitable<bool> RecordSweeper::commit(ports::RecordTransaction transaction) {
   const double count = static_cast<double>(transaction.writes.size());
--- a/src/jobs/record_sweeper.hpp
+++ b/src/jobs/record_sweeper.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Removes the records of jobs that nobody may ask for any more. Run by the
-/// coordinator; belongs to its thread, for one term.
+/// Removes the records of jobs after their retention period. Used from the coordinator's thread,
+/// for one term.
 #pragma once
 
 #include <functional>
@@ -14,25 +14,25 @@
 
 namespace stoneport::jobs {
 
-/// A job whose records may go.
+/// A job whose records may be removed.
 struct ExpiredJob {
   std::string id;
-  core::Revision index_revision;  ///< of its index record, a condition of the removal
-  bool has_end = false;           ///< the index holds its end too
+  core::Revision index_revision;  ///< of its index record; a condition of the removal
+  bool has_end = false;           ///< whether the index also holds its end
 };
 
 /// \return finished jobs that were accepted longer than \p retention ago.
-/// \param is_finished whether nothing more will be listed for a job
+/// \param is_finished whether a job gets no further results
 std::vector<ExpiredJob> expired_jobs(const std::vector<ports::Record>& index, ports::StoreTime now,
                                      core::Duration retention,
                                      const std::function<bool(const std::string&)>& is_finished);
 
 class RecordSweeper {
  public:
-  /// All outlive the sweeper.
+  /// All arguments must outlive the sweeper.
   RecordSweeper(ports::RecordStore& store, JobStore& jobs, Term term, core::Metrics& metrics);
-  /// Removes everything of \p job, its index record last, so that a sweep that is
-  /// cut off begins again. \return whether all is gone.
+  /// Removes all records of \p job, its index record last, so that an interrupted sweep is started
+  /// again. \return whether everything was removed.
   boost::asio::awaitable<bool> sweep(ExpiredJob job);
 
  private:
--- a/src/jobs/replica_speeds.hpp
+++ b/src/jobs/replica_speeds.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// How fast each replica makes texts, from the times between events. A replica that
-/// runs more texts makes each of them more slowly; that is taken out of what is
-/// remembered, so that a full fast replica does not look like an empty slow one. How much
-/// more slowly is learned for each service. Plain code.
+/// Estimates how fast each replica generates texts, from the gaps between events. A replica
+/// generates each text more slowly the more texts it runs; this slowdown, which is estimated per
+/// service, is removed from the stored speed, so that a full fast replica is not mistaken for an
+/// empty slow one. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,16 @@
 
 namespace stoneport::jobs {
 
-/// How much of a replica is taken.
+/// Occupied share of a replica's slots.
 struct Occupancy {
   std::uint32_t running = 0;
   std::uint32_t slots = 1;
 };
 
 struct ReplicaSpeedSettings {
-  /// What is seen of a replica counts over this time.
+  /// Time over which observations of a replica are averaged.
   core::Duration averaging = std::chrono::milliseconds(1000);
-  /// Without an event for this long a replica's speed is forgotten.
+  /// Time without events after which a replica's speed is forgotten.
   core::Duration memory = std::chrono::seconds(10);
   SlowdownSettings slowdown;
 };
@@ -32,29 +32,29 @@
 class ReplicaSpeeds {
  public:
   explicit ReplicaSpeeds(ReplicaSpeedSettings settings = {}) : settings_(settings) {}
-  ReplicaSpeeds(const ReplicaSpeeds&) = delete;  // its parts point to each other
+  ReplicaSpeeds(const ReplicaSpeeds&) = delete;  // known_ points into estimators_
   ReplicaSpeeds& operator=(const ReplicaSpeeds&) = delete;
 
-  /// An event of one text came \p gap after the one before it.
-  /// \param service of \p replica
+  /// Records that an event of a text arrived \p gap after the previous one.
+  /// \param service service of \p replica
   void note_event(const core::ReplicaId& replica, const core::ServiceName& service,
                   const Occupancy& taken, core::Duration gap, core::MonotonicTime now);
-  /// \return the time between two events of a text while \p taken holds; zero when nothing
-  /// is known of the replica.
+  /// \return the time between two events of a text at occupancy \p taken; zero if nothing is known
+  /// about the replica.
   core::Duration event_gap(const core::ReplicaId& replica, const Occupancy& taken,
                            core::MonotonicTime now) const;
 
  private:
   struct Known {
-    double empty_gap = 0;  ///< seconds between events if a text ran alone
+    double empty_gap = 0;  ///< seconds between events if a single text ran
     core::MonotonicTime last_event{};
     ReplicaBaseline usual;
-    const SlowdownEstimator* law = nullptr;  ///< of its service
+    const SlowdownEstimator* estimator = nullptr;  ///< of its service
   };
 
   ReplicaSpeedSettings settings_;
   std::unordered_map<core::ReplicaId, Known> known_;
-  std::map<core::ServiceName, SlowdownEstimator> laws_;
+  std::map<core::ServiceName, SlowdownEstimator> estimators_;
 };
 
 }  // namespace stoneport::jobs
--- a/src/jobs/scorer.cpp
+++ b/src/jobs/scorer.cpp
@@ -15,8 +15,8 @@
 constexpr unsigned kFirstRedirect = 300;
 constexpr unsigned kServerError = 500;
 constexpr std::size_t kMostCallsOfText = 2;
-/// Answers of failure after which a call is given up, in the attempts of its route: a
-/// replica may fail whatever it runs.
+/// Number of failures after which a call is given up, in multiples of its route's attempts: a
+/// faulty replica may fail everything that it runs.
 constexpr std::uint32_t kMostRoundsOfFailures = 2;
 }  // namespace
 
@@ -73,7 +73,7 @@
   return found;
 }
 
-/// A slow replica answers other calls meanwhile.
+/// A replica that is merely slow answers other calls in the meantime.
 bool Scorer::is_silent(const Attempt& attempt) const {
   return attempt.replica->last_answer < attempt.sent_at;
 }
@@ -84,7 +84,7 @@
   if (in_force.route == nullptr) {
     co_return answer;
   }
-  // One replica a call: the answers of failure are counted here.
+  // One replica per call: failures are counted here.
   ingress::Route single = *in_force.route;
   single.most_attempts = 1;
   ingress::ForwardedRequest request;
@@ -128,8 +128,8 @@
 
 asio::awaitable<void> Scorer::run(TextPointer text, AttemptPointer attempt) {
   std::optional<Answer> answer;
-  if (!attempt->is_cut) {
-    answer = co_await runtime::run_cancellable(call(text, attempt), attempt->cut);
+  if (!attempt->is_cancelled) {
+    answer = co_await runtime::run_cancellable(call(text, attempt), attempt->cancel);
   }
   on_end(*text, attempt, answer.value_or(Answer()));
 }
@@ -153,7 +153,7 @@
     on_rated(text, *attempt, answer.signature);
   } else if (answer.kind == AnswerKind::kFailedAnswer) {
     on_failed_answer(text, *attempt);
-  } else if (!attempt->is_cut) {
+  } else if (!attempt->is_cancelled) {
     text.not_before = time_.now() + settings_.retry_pause;
   }
   if (answer.kind == AnswerKind::kOutOfTime) {
@@ -176,14 +176,14 @@
   }
   for (const AttemptPointer& other : text.attempts) {
     const bool was_overtaken = other->replica && other->sent_at < winner.sent_at;
-    if (!was_overtaken || other->is_cut) {
+    if (!was_overtaken || other->is_cancelled) {
       continue;
     }
     const core::Duration taken = now - other->sent_at;
     if (is_silent(*other)) {
       forwarder_.note_silent(*other->replica);
     } else {
-      // It takes at least that long; without it, only the quick ones would be known.
+      // It takes at least that long; without this, only the quick replicas would have known times.
       other->replica->note_latency(taken);
       if (times != nullptr) {
         times->note(taken);
@@ -193,7 +193,8 @@
 }
 
 void Scorer::on_failed_answer(Text& text, const Attempt& failed) {
-  text.left.insert(failed.replica->record.id);  // one that fails all it runs condemns no text
+  text.left.insert(
+      failed.replica->record.id);  // a replica that fails everything must not fail the text
   if (!failed.counts_failure) {
     return;
   }
@@ -209,19 +210,19 @@
   }
 }
 
-void Scorer::cut(Attempt& attempt) {
-  if (attempt.is_cut) {
+void Scorer::cancel(Attempt& attempt) {
+  if (attempt.is_cancelled) {
     return;
   }
-  attempt.is_cut = true;
-  meters_->cut.Increment();
-  attempt.cut.emit(asio::cancellation_type::terminal);
+  attempt.is_cancelled = true;
+  meters_->cancelled.Increment();
+  attempt.cancel.emit(asio::cancellation_type::terminal);
 }
 
-asio::awaitable<void> Scorer::cut_all(Text& text) {
+asio::awaitable<void> Scorer::cancel_all(Text& text) {
   const std::list<AttemptPointer> attempts = text.attempts;
   for (const AttemptPointer& attempt : attempts) {
-    cut(*attempt);
+    cancel(*attempt);
   }
   while (!text.attempts.empty()) {
     co_await wait_for_change(text);
@@ -233,11 +234,12 @@
   co_await text.changed.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-/// A call at a suspect replica is free to go elsewhere, as others have shown that it is silent;
-/// without that the service as a whole may be slow, and another call loads it more.
+/// A call at a suspect replica may always be replaced, because other calls have shown that the
+/// replica is silent. Otherwise the service as a whole may be slow, and another call would add to
+/// its load.
 bool Scorer::should_cut(const Text& text, const Attempt& attempt, const routing::CallBounds& bounds,
                         RouteStatistics& route) {
-  if (!attempt.replica || attempt.is_cut || !is_silent(attempt)) {
+  if (!attempt.replica || attempt.is_cancelled || !is_silent(attempt)) {
     return false;
   }
   const core::MonotonicTime now = time_.now();
@@ -252,7 +254,7 @@
 void Scorer::check_attempts(const TextPointer& text) {
   const RouteInForce in_force = route_of(text->call);
   const AttemptPointer newest = text->attempts.back();
-  if (in_force.route == nullptr || !newest->replica || newest->is_cut) {
+  if (in_force.route == nullptr || !newest->replica || newest->is_cancelled) {
     return;
   }
   const core::MonotonicTime now = time_.now();
@@ -294,7 +296,7 @@
 void Scorer::give_up(Text& text, Attempt& attempt) {
   ++text.given_up;
   text.left.insert(attempt.replica->record.id);
-  cut(attempt);
+  cancel(attempt);
 }
 
 asio::awaitable<void> Scorer::begin_when_slot_free(TextPointer text,
@@ -306,14 +308,14 @@
   ++waiting_;
   Demand* const demand = demand_of(*text);
   if (demand != nullptr) {
-    demand->waiting.insert(*text->claim);
+    demand->waiting.insert(*text->priority);
   }
   while (is_wanted() && (in_flight_ >= most_at_once(text->call) || !is_its_turn(*text))) {
     co_await runtime::sleep_for(settings_.retry_pause / 4);
     refresh_share(text->call);
   }
   if (demand != nullptr) {
-    demand->waiting.erase(demand->waiting.find(*text->claim));
+    demand->waiting.erase(demand->waiting.find(*text->priority));
   }
   --waiting_;
   if (!is_wanted()) {
@@ -327,12 +329,12 @@
 }
 
 asio::awaitable<Score> Scorer::score(ScoringCall call, std::function<bool()> is_wanted,
-                                     std::optional<RatingPriority> claim) {
+                                     std::optional<RatingPriority> priority) {
   const auto text = std::make_shared<Text>(co_await asio::this_coro::executor, std::move(call));
-  text->claim = claim;
+  text->priority = priority;
   Demand* const demand = demand_of(*text);
   if (demand != nullptr) {
-    demand->due.insert(claim->due);
+    demand->due.insert(priority->due);
   }
   while (!text->end && is_wanted()) {
     refresh_share(text->call);
@@ -344,9 +346,9 @@
     co_await wait_for_change(*text);
   }
   if (demand != nullptr) {
-    demand->due.erase(demand->due.find(claim->due));
+    demand->due.erase(demand->due.find(priority->due));
   }
-  co_await cut_all(*text);
+  co_await cancel_all(*text);
   co_return text->end.value_or(Score());
 }
 
--- a/src/jobs/scorer_shares.cpp
+++ b/src/jobs/scorer_shares.cpp
@@ -1,4 +1,4 @@
-// The part of Scorer that says how many places rating calls may take, and whose turn it is.
+// Scorer: computes how many places rating calls may take, and which text starts next.
 #include <algorithm>
 
 #include "core/decision_log.hpp"
@@ -75,11 +75,11 @@
 
 bool Scorer::is_its_turn(const Text& text) const {
   const RouteInForce in_force = route_of(text.call);
-  if (!text.claim || in_force.route == nullptr || !share_of(*in_force.route)) {
+  if (!text.priority || in_force.route == nullptr || !share_of(*in_force.route)) {
     return true;
   }
   const std::multiset<RatingPriority>& waiting = demands_.at(in_force.route->name).waiting;
-  return waiting.empty() || may_start_before(*text.claim, *waiting.begin(), settings_.same_step);
+  return waiting.empty() || may_start_before(*text.priority, *waiting.begin(), settings_.same_step);
 }
 
 std::uint32_t Scorer::usual_share(std::uint32_t places) const {
@@ -90,7 +90,7 @@
   const RouteInForce in_force = route_of(call);
   const std::uint32_t places = in_force.route == nullptr ? 0 : places_of(*in_force.route);
   if (places == 0) {
-    return 0;  // a call that waited for a replica would have less time for its answer
+    return 0;  // a call that waits for a replica would have less time for its answer
   }
   const std::optional<std::uint32_t> share = share_of(*in_force.route);
   if (share) {
@@ -103,7 +103,7 @@
 
 Scorer::Demand* Scorer::demand_of(const Text& text) {
   const RouteInForce in_force = route_of(text.call);
-  return text.claim && in_force.route != nullptr ? &demands_[in_force.route->name] : nullptr;
+  return text.priority && in_force.route != nullptr ? &demands_[in_force.route->name] : nullptr;
 }
 
 }  // namespace stoneport::jobs
--- a/src/jobs/slowdown_estimator.cpp
+++ b/src/jobs/slowdown_estimator.cpp
@@ -1,7 +1,7 @@
-#include <algorithm>
-
 #include "jobs/slowdown_estimator.hpp"
 
+#include <algorithm>
+
 namespace stoneport::jobs {
 
 bool SlowdownEstimator::is_outlier(ReplicaBaseline& usual, double gap, double time) const {
@@ -23,7 +23,7 @@
     return;
   }
   if (usual.seen >= core::to_seconds(settings_.settled_after)) {
-    // The gap is usual.gap * (1 + s * share) / (1 + s * usual.share) if s is the law.
+    // The gap is usual.gap * (1 + s * share) / (1 + s * usual.share) for a slowdown of s.
     const double share_deviation = (share - usual.share) / (1 + full_load_slowdown() * usual.share);
     evidence_ += time * share_deviation * share_deviation;
     product_ += time * share_deviation * (gap / usual.gap - 1);
--- a/src/jobs/slowdown_estimator.hpp
+++ b/src/jobs/slowdown_estimator.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How much longer the events of a text take on a full replica than on an empty one, learned
-/// for all replicas of a service from how their gaps change with what they run. Plain code.
+/// Estimates how much longer the event gap of a text is on a full replica than on an empty one, for
+/// all replicas of a service, from how gaps change with the number of running texts. No I/O.
 #pragma once
 
 #include "core/time.hpp"
@@ -8,56 +8,58 @@
 namespace stoneport::jobs {
 
 struct SlowdownSettings {
-  /// As a share; holds until enough has been seen.
+  /// Prior estimate, as a fraction; dominates until enough was observed.
   double prior = 0.2;
-  /// A full replica takes at most twice as long for an event: what lies beyond is a fault of a
-  /// replica that happened to be full.
+  /// Upper bound, as a fraction: a full replica takes at most twice as long for an event. More is
+  /// attributed to a fault of a replica that happened to be full.
   double most = 1.0;
-  /// What a replica usually runs, and how fast, is an average over this time: longer than texts
-  /// take to come and go, shorter than a replica stays slowed down or loads weights.
+  /// Averaging time of a replica's usual load and gap: longer than the time in which texts start
+  /// and end, shorter than the time for which a replica stays slow or loads weights.
   core::Duration averaging = std::chrono::seconds(5);
-  /// Gaps that are longer or shorter than the usual one by more than this factor tell of a
-  /// stall, or of a new speed when nothing else is seen for the time after.
+  /// A gap that differs from the usual one by more than this factor is an outlier. It indicates a
+  /// stall, or a new speed if all gaps are outliers for new_speed_after.
   double largest_factor = 1.8;
   core::Duration new_speed_after = std::chrono::milliseconds(300);
-  /// A replica's average stands on too few events before that.
+  /// Before that, a replica's average is based on too few events.
   core::Duration settled_after = std::chrono::milliseconds(1000);
-  /// How much the prior weighs: like 40 s in which a replica's share of taken places differs by
-  /// 0.2 from its average (40 * 0.2 * 0.2). One event's gap differs from the usual one by about
-  /// 0.3, so that chance alone moves the result by 0.02.
+  /// Weight of the prior: equivalent to 40 s in which a replica's occupancy differs by 0.2 from its
+  /// average (40 * 0.2 * 0.2). The gap of one event differs from the usual one by about 0.3, so
+  /// random variation alone moves the estimate by 0.02.
   double prior_evidence = 1.6;
-  /// What was seen before counts less and less once there is that many times as much.
+  /// Limit of the accumulated evidence, in multiples of the prior's weight; beyond it older
+  /// observations decay.
   double most_evidence_in_priors = 20;
 };
 
-/// What one replica has done lately.
+/// Recent averages of one replica.
 struct ReplicaBaseline {
   double gap = 0;    ///< seconds between two events of a text
-  double share = 0;  ///< of its places that are taken
-  double seen = 0;   ///< seconds that these stand on; zero when nothing is known
-  double odd = 0;    ///< seconds in which all gaps differed too much from the usual one
+  double share = 0;  ///< occupied share of its slots
+  double seen = 0;   ///< seconds of observation behind these; zero if none
+  double odd = 0;    ///< seconds in which all gaps were outliers
 };
 
 class SlowdownEstimator {
  public:
   explicit SlowdownEstimator(SlowdownSettings settings = {}) : settings_(settings) {}
 
-  /// An event came on a replica. Replicas differ in speed, so each is held against itself.
-  /// \param usual of that replica; takes the event in
-  /// \param gap seconds since the event before it of the same text
-  /// \param share of the replica's places that were taken
-  /// \param time seconds that the event stands for
+  /// Records an event of a replica. Replicas differ in speed, so each is compared with its own
+  /// average.
+  /// \param usual average of that replica; updated with the event
+  /// \param gap seconds since the previous event of the same text
+  /// \param share occupied share of the replica's slots
+  /// \param time seconds that the event represents
   void note(ReplicaBaseline& usual, double gap, double share, double time);
-  /// \return how much longer an event takes on a full replica, as a share.
+  /// \return by which fraction the event gap on a full replica exceeds that on an empty one.
   double full_load_slowdown() const;
 
  private:
-  /// \return whether \p gap tells nothing of what the replica usually does.
+  /// \return whether \p gap is an outlier that must not affect the replica's average.
   bool is_outlier(ReplicaBaseline& usual, double gap, double time) const;
 
   SlowdownSettings settings_;
-  double evidence_ = 0;  ///< squared deviations of the share, in seconds
-  double product_ = 0;   ///< deviations of the share by those of the gap, in seconds
+  double evidence_ = 0;  ///< sum of squared share deviations, in seconds
+  double product_ = 0;   ///< sum of share deviations times gap deviations, in seconds
 };
 
 }  // namespace stoneport::jobs
--- a/src/jobs/step_capacity.cpp
+++ b/src/jobs/step_capacity.cpp
@@ -1,12 +1,12 @@
+#include "jobs/step_capacity.hpp"
+
 #include <map>
 #include <unordered_map>
 
-#include "jobs/step_capacity.hpp"
-
 namespace stoneport::jobs {
 namespace {
 
-/// A replica and the jobs that may use it, in rising order.
+/// A replica and the jobs that may use it, in ascending order.
 struct SharedReplica {
   double rate = 0;
   std::vector<std::size_t> jobs;
--- a/src/jobs/step_capacity.hpp
+++ b/src/jobs/step_capacity.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The replicas that open jobs compete for, put together in pools: replicas that the same jobs may
-/// use count as one. Keeps looks at room short where replicas are many. Plain code.
+/// Groups the replicas that open jobs compete for into pools: replicas that can be used by the same
+/// jobs form one pool. Keeps capacity checks cheap when there are many replicas. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,18 @@
 
 namespace stoneport::jobs {
 
-/// What one replica makes when it is full.
+/// Throughput of one full replica.
 struct ReplicaRate {
   core::ReplicaId id;
-  double rate = 0;  ///< events a second, of all its texts
+  double rate = 0;  ///< events per second, all texts together
 };
 
 struct StepCapacity {
-  std::vector<double> rates;                    ///< of each pool, events a second
+  std::vector<double> rates;                    ///< events per second of each pool
   std::vector<std::vector<std::size_t>> pools;  ///< for each job, indexes into rates
 };
 
-/// \param usable for each job the replicas that may make its texts
+/// \param usable for each job, the replicas that may run its texts
 StepCapacity build_step_capacity(const std::vector<std::vector<ReplicaRate>>& usable);
 
 }  // namespace stoneport::jobs
--- a/src/jobs/step_scheduler.cpp
+++ b/src/jobs/step_scheduler.cpp
@@ -1,27 +1,27 @@
+#include "jobs/step_scheduler.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 #include <tuple>
 
-#include "jobs/step_scheduler.hpp"
-
 namespace stoneport::jobs {
 namespace {
 
-/// A step counts as met when this share of its wanted groups was whole in time; all of them, but
-/// for rounding.
+/// A step counts as met when this fraction of its wanted groups was complete in time: all of them,
+/// except for rounding.
 constexpr double kMetShare = 0.999;
 
-/// What is left of the replicas' rates while steps take their work from them, first one first.
-class Room {
+/// Remaining capacity of the replica pools while steps are allocated in order.
+class Capacity {
  public:
-  Room(const std::vector<double>& rates, double usable)
+  Capacity(const std::vector<double>& rates, double usable)
       : rates_(rates), taken_(rates.size(), 0.0), usable_(usable) {}
 
-  /// Takes the work of \p step from its pools, in proportion to what they have left.
-  /// \param seconds until it has to be made
-  /// \return whether they had room for it in that time.
-  bool take(const OpenStep& step, double seconds) {
+  /// Allocates the work of \p step in its pools, in proportion to their remaining capacity.
+  /// \param seconds time until the work is due
+  /// \return whether the pools had enough capacity for it in that time.
+  bool allocate(const OpenStep& step, double seconds) {
     std::vector<double> left;
     for (const std::size_t pool : step.pools) {
       left.push_back(std::max(rates_[pool] * usable_ * seconds - taken_[pool], 0.0));
@@ -35,7 +35,7 @@
     return fits;
   }
 
-  /// \return seconds until the pools of \p step have made all that was taken from them.
+  /// \return the seconds that the pools of \p step need for all work allocated in them.
   double busy_seconds(const OpenStep& step) const {
     double taken = 0;
     for (const std::size_t pool : step.pools) {
@@ -79,13 +79,13 @@
   return found == trainers_.end() ? 0 : found->second.earned;
 }
 
-bool StepScheduler::is_begun(const OpenStep& step) const {
+bool StepScheduler::is_selected(const OpenStep& step) const {
   const auto known = known_.find(step.job);
   return known != known_.end() && known->second.plan == StepPlan::kMeet;
 }
 
 bool StepScheduler::can_be_met(const OpenStep& step, core::Duration now) const {
-  const core::Duration end = is_begun(step) ? step.last_end : step.late_end;
+  const core::Duration end = is_selected(step) ? step.last_end : step.late_end;
   return step.work.rest <= 0 || now + end + settings_.finish <= step.due;
 }
 
@@ -121,7 +121,7 @@
     known.rank = step.rank;
     known.due = step.due;
     if (now <= step.due) {
-      known.share_in_time = step.work.whole_share;
+      known.share_in_time = step.work.complete_share;
     }
   }
   for (auto known = known_.begin(); known != known_.end();) {
@@ -146,7 +146,8 @@
   faded_at_ = now;
 }
 
-/// One that comes new has as much as the least of the others: nothing is owed for the time before.
+/// A new trainer starts with the least earned of the others, so that it has no claim for the time
+/// before.
 void StepScheduler::update_trainer(const OpenStep& step, core::Duration now) {
   const auto found = trainers_.find(step.trainer);
   if (found != trainers_.end()) {
@@ -167,30 +168,30 @@
   for (const OpenStep* step : steps) {
     trainers.insert(step->trainer);
   }
-  // Whoever has seen a step of each of its equals met goes before all that wait less.
-  const auto claim = [&](const OpenStep* step) {
+  // A trainer that has seen a step of each of its equals met precedes all that have waited less.
+  const auto priority = [&](const OpenStep* step) {
     const Trainer& trainer = trainers_.at(step->trainer);
     const bool waits_less = trainer.equals_met + 1 < trainers.size() || trainers.size() < 2;
-    return std::make_tuple(!is_begun(*step), waits_less, trainer.earned, step->due, step->job);
+    return std::make_tuple(!is_selected(*step), waits_less, trainer.earned, step->due, step->job);
   };
   std::sort(steps.begin(), steps.end(), [&](const OpenStep* left, const OpenStep* right) {
-    return claim(left) < claim(right);
+    return priority(left) < priority(right);
   });
 }
 
 namespace {
 
-/// \return whether all of \p steps that can be met are met, taken in order after \p ahead.
+/// \return whether all of \p steps that can be met are met if allocated in order after \p ahead.
 template <class CanBeMet, class Seconds>
 bool all_fit(const std::vector<const OpenStep*>& ahead, std::vector<const OpenStep*> steps,
-             Room room, const CanBeMet& can_be_met, const Seconds& seconds) {
+             Capacity capacity, const CanBeMet& can_be_met, const Seconds& seconds) {
   std::sort(steps.begin(), steps.end(), is_due_before);
   for (const OpenStep* step : ahead) {
-    room.take(*step, seconds(*step));
+    capacity.allocate(*step, seconds(*step));
   }
   bool fit = true;
   for (const OpenStep* step : steps) {
-    const bool fits = room.take(*step, seconds(*step));
+    const bool fits = capacity.allocate(*step, seconds(*step));
     fit &= fits || step->pools.empty() || !can_be_met(*step);
   }
   return fit;
@@ -199,35 +200,35 @@
 }  // namespace
 
 bool StepScheduler::is_far_ahead(const OpenStep& step, const Steps& equals,
-                                 const Steps& chosen) const {
+                                 const Steps& selected) const {
   const double bound = trainers_.at(step.trainer).earned - settings_.max_lead;
   return std::any_of(equals.begin(), equals.end(), [&](const OpenStep* other) {
-    const bool waits = std::find(chosen.begin(), chosen.end(), other) == chosen.end();
+    const bool waits = std::find(selected.begin(), selected.end(), other) == selected.end();
     return waits && share_pool(step, *other) && trainers_.at(other->trainer).earned < bound;
   });
 }
 
-std::set<const OpenStep*> StepScheduler::choose(const Steps& ahead, const Steps& by_claim,
+std::set<const OpenStep*> StepScheduler::select(const Steps& ahead, const Steps& by_priority,
                                                 const std::vector<double>& rates,
                                                 core::Duration now) const {
   const auto can_be_met = [&](const OpenStep& step) { return this->can_be_met(step, now); };
   const auto seconds = [&](const OpenStep& step) {
     return core::to_seconds(step.due - settings_.finish - now);
   };
-  Steps chosen;
-  for (const OpenStep* step : by_claim) {
-    const bool has_turn = is_begun(*step) || !is_far_ahead(*step, by_claim, chosen);
+  Steps selected;
+  for (const OpenStep* step : by_priority) {
+    const bool has_turn = is_selected(*step) || !is_far_ahead(*step, by_priority, selected);
     if (!can_be_met(*step) || !has_turn) {
       continue;
     }
-    Steps with = chosen;
+    Steps with = selected;
     with.push_back(step);
-    const double usable = is_begun(*step) ? settings_.usable_of_begun : settings_.usable;
-    if (all_fit(ahead, with, Room(rates, usable), can_be_met, seconds)) {
-      chosen = std::move(with);
+    const double usable = is_selected(*step) ? settings_.usable_of_selected : settings_.usable;
+    if (all_fit(ahead, with, Capacity(rates, usable), can_be_met, seconds)) {
+      selected = std::move(with);
     }
   }
-  return {chosen.begin(), chosen.end()};
+  return {selected.begin(), selected.end()};
 }
 
 void StepScheduler::decide_rank(const Steps& ahead, Steps equals, const std::vector<double>& rates,
@@ -239,7 +240,7 @@
   };
   const bool was_short = short_ranks_.contains(rank);
   const double usable = was_short ? settings_.usable_at_end : settings_.usable;
-  if (all_fit(ahead, equals, Room(rates, usable), can_be_met, seconds)) {
+  if (all_fit(ahead, equals, Capacity(rates, usable), can_be_met, seconds)) {
     short_ranks_.erase(rank);
     for (const OpenStep* step : equals) {
       known_[step->job].plan = StepPlan::kUsual;
@@ -249,23 +250,23 @@
   }
   short_ranks_.insert(rank);
   sort_by_priority(equals);
-  const std::set<const OpenStep*> chosen = choose(ahead, equals, rates, now);
-  Room room(rates, 1);
+  const std::set<const OpenStep*> selected = select(ahead, equals, rates, now);
+  Capacity capacity(rates, 1);
   for (const OpenStep* step : ahead) {
-    room.take(*step, seconds(*step));
+    capacity.allocate(*step, seconds(*step));
   }
-  // Steps to be met are one queue; then those behind, then those that are lost, one by one.
+  // Steps to be met form one queue, followed by the deferred and then by the lost ones, one by one.
   std::stable_sort(equals.begin(), equals.end(), [&](const OpenStep* left, const OpenStep* right) {
     const auto group = [&](const OpenStep* step) {
-      return chosen.contains(step) || step->pools.empty() ? 0 : can_be_met(*step) ? 1 : 2;
+      return selected.contains(step) || step->pools.empty() ? 0 : can_be_met(*step) ? 1 : 2;
     };
     return group(left) < group(right);
   });
   std::uint32_t position = 0;
   for (const OpenStep* step : equals) {
-    room.take(*step, seconds(*step));
+    capacity.allocate(*step, seconds(*step));
     Known& known = known_[step->job];
-    if (chosen.contains(step) || step->pools.empty()) {
+    if (selected.contains(step) || step->pools.empty()) {
       known.plan = StepPlan::kMeet;
       decision.places[step->job] = {StepPlan::kMeet, 0};
       continue;
@@ -276,7 +277,7 @@
     const bool was_behind = known.plan == StepPlan::kDeferred || known.plan == StepPlan::kLost;
     known.plan = plan;
     if (!was_behind) {
-      const double late = room.busy_seconds(*step) - seconds(*step);
+      const double late = capacity.busy_seconds(*step) - seconds(*step);
       decision.deferred.push_back(
           {step->job, step->trainer, core::from_seconds(std::max(late, 0.0)), is_lost});
     }
--- a/src/jobs/term_duty.hpp
+++ b/src/jobs/term_duty.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Work beside the jobs that one process does for all: whoever holds the coordinator's term.
-/// Belongs to the coordinator's thread.
+/// Cluster-wide work that one process, the holder of the coordinator's term, does besides the jobs.
+/// Used from the coordinator's thread only.
 #pragma once
 
 #include <functional>
@@ -13,13 +13,13 @@
 
 namespace stoneport::jobs {
 
-/// The term that a duty works under.
+/// The term that a duty runs under.
 struct TermContext {
   Term term;
-  /// Whether this process may act on the term now: it is awake, its last write was confirmed
-  /// lately, and it is not handing over.
+  /// Whether this process may act on the term now: it was not paused, its last write was confirmed
+  /// recently, and it is not handing over.
   std::function<bool()> is_sure;
-  /// The jobs that are worked on.
+  /// Returns the jobs that are being processed.
   std::function<std::vector<OpenJobPointer>()> open_jobs = {};
 };
 
@@ -27,11 +27,11 @@
  public:
   virtual ~TermDuty() = default;
   virtual void start() = 0;
-  /// Nothing is sent after that.
+  /// Stops the duty; it sends nothing afterwards.
   virtual void stop() = 0;
 };
 using TermDutyPointer = std::shared_ptr<TermDuty>;
-/// Makes the duties of one term.
+/// Creates the duties of one term.
 using TermDutyFactory = std::function<std::vector<TermDutyPointer>(const TermContext&)>;
 
 }  // namespace stoneport::jobs
--- a/src/jobs/term_keeper.cpp
+++ b/src/jobs/term_keeper.cpp
@@ -9,8 +9,8 @@
 namespace asio = boost::asio;
 namespace {
 
-/// Of a core: coordinating the users' grown deployment took 0.05 on average, and several
-/// times that while jobs arrive.
+/// Fraction of a core: coordination used 0.05 on average in the largest recorded deployment, and
+/// several times that while jobs arrive.
 constexpr double kAmpleProcessorShare = 0.5;
 constexpr core::Duration kLongestBidDelay = std::chrono::milliseconds(500);
 
@@ -30,14 +30,14 @@
   changed_at_ = is_first ? now - silence : now;
 }
 
-core::Duration TermObserver::patience(HolderStatus sign) const {
+core::Duration TermObserver::required_silence(HolderStatus status) const {
   if (!has_holder_) {
     return core::Duration(0);
   }
-  // The members learn a sign at times that differ by more than the bid delay. A small machine
-  // that learns it first must still leave the term to a large one that has not yet.
+  // Members learn of a report at times that differ by more than the bid delay. A small machine that
+  // learns of it first must still leave the term to a large one that has not yet.
   const bool trusts_signs = settings_.bid_delay == core::Duration(0);
-  switch (sign) {
+  switch (status) {
     case HolderStatus::kEnded:
       return trusts_signs ? core::Duration(0) : settings_.takeover_from_suspect_after;
     case HolderStatus::kSuspect:
@@ -48,16 +48,16 @@
   return settings_.takeover_after;
 }
 
-HolderStatus TermObserver::effective_status(HolderStatus sign) {
-  const bool is_ended = sign == HolderStatus::kEnded;
+HolderStatus TermObserver::effective_status(HolderStatus status) {
+  const bool is_ended = status == HolderStatus::kEnded;
   ended_before_ = is_ended && (ended_before_ || is_new_holder_);
   is_new_holder_ = false;
-  return ended_before_ ? HolderStatus::kUnknown : sign;
+  return ended_before_ ? HolderStatus::kUnknown : status;
 }
 
 bool TermObserver::should_bid(core::MonotonicTime now, core::MonotonicTime last_answer,
-                              double spread, HolderStatus sign) {
-  const HolderStatus trusted = effective_status(sign);
+                              double spread, HolderStatus status) {
+  const HolderStatus trusted = effective_status(status);
   const bool was_paused = last_tick_ && now - *last_tick_ > settings_.longest_gap;
   last_tick_ = now;
   const bool store_is_silent = now - last_answer > settings_.longest_store_silence;
@@ -69,7 +69,7 @@
       core::from_seconds(core::to_seconds(settings_.bid_spread) * spread);
   const core::Duration own_delay = settings_.bid_delay + spread_length;
   const bool is_early = ineligible_at_ && now - *ineligible_at_ < own_delay;
-  return !is_early && now - *changed_at_ >= patience(trusted) + own_delay;
+  return !is_early && now - *changed_at_ >= required_silence(trusted) + own_delay;
 }
 
 TermKeeper::TermKeeper(asio::any_io_executor executor, ports::RecordStore& store,
@@ -87,9 +87,9 @@
           [this](const records::TableMirror::Records& records) { on_records(records); },
           {.feed_wait = std::chrono::milliseconds(600), .feed_interval = settings_.feed_interval}),
       terms_gained_(metrics.counter("stoneport_coordinator_terms_gained_total",
-                                    "Terms that this process began")),
+                                    "Terms gained by this process")),
       terms_lost_(metrics.counter("stoneport_coordinator_terms_lost_total",
-                                  "Terms that another process took over")),
+                                  "Terms lost to another process")),
       holds_term_(metrics.gauge("stoneport_coordinator_holds_term",
                                 "1 while this process coordinates the jobs")) {
   spread_ = random_.fraction();
@@ -126,7 +126,7 @@
   if (held_ && seen_revision_ > held_->revision) {
     on_deposed(seen_.holder.empty() ? "released" : "another process holds the term");
   }
-  // A bid whose answer was lost.
+  // A bid of this process whose answer was lost.
   const bool is_ours = seen_.holder == settings_.holder;
   if (!held_ && !released_ && is_ours && seen_revision_ != core::Revision()) {
     gain({core::Epoch(seen_.epoch), seen_revision_});
@@ -192,8 +192,8 @@
       if (!is_eligible) {
         watch_.on_ineligible(now);
       }
-      const HolderStatus sign = listener_.holder_status(seen_.holder);
-      const bool should = watch_.should_bid(now, mirror_.last_answer(), spread_, sign);
+      const HolderStatus status = listener_.holder_status(seen_.holder);
+      const bool should = watch_.should_bid(now, mirror_.last_answer(), spread_, status);
       if (should && is_eligible) {
         co_await bid();
       }
@@ -212,7 +212,7 @@
   release.writes.push_back({std::string(kTermTable), std::string(kTermKey), encode_term(nobody)});
   const core::Result<core::Revision> committed =
       co_await store_.commit(std::move(release), settings_.write_timeout);
-  // What was seen before must not look like a bid of this process whose answer was lost.
+  // The state seen before must not look like a bid of this process whose answer was lost.
   if (committed && *committed > seen_revision_) {
     seen_ = nobody;
     seen_revision_ = *committed;
--- a/src/jobs/term_keeper.hpp
+++ b/src/jobs/term_keeper.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Which process coordinates the jobs: a term in the store with a growing epoch, a
-/// heartbeat beside it (written by jobs/term_writer), and take-over when it stops
-/// while the store answers. Every write of a holder is conditional on the term's revision, so a
-/// deposed holder can change nothing. Belongs to one thread.
+/// Elects the process that coordinates the jobs: a term record in the store with an increasing
+/// epoch, a heartbeat record beside it (written by jobs/term_writer), and takeover when the
+/// heartbeat stops while the store answers. Every write of a holder is conditional on the revision
+/// of its term, so a deposed holder cannot change anything. Used from one thread only.
 #pragma once
 
 #include <functional>
@@ -18,82 +18,82 @@
 
 namespace stoneport::jobs {
 
-/// \return how much later than others a process bids that has \p processor_share of a core.
+/// \return the delay of bids of a process that has \p processor_share of a core.
 core::Duration bid_delay_of(double processor_share);
 
 struct Term {
   core::Epoch epoch;
   core::Revision revision;       ///< of the term's record; a condition of each write
-  core::Duration bid_latency{};  ///< how long the store took over the bid; zero unknown
+  core::Duration bid_latency{};  ///< time that the store took for the bid; zero if unknown
 };
 
 struct TermSettings {
-  /// Unique to one life of one process.
+  /// Unique to one run of one process.
   std::string holder;
   core::Duration write_timeout = std::chrono::milliseconds(900);
   /// Silence of the heartbeat after which another process takes over.
   core::Duration takeover_after = std::chrono::milliseconds(1200);
-  /// The same when other signs say that the holder is gone.
+  /// Replaces takeover_after when the holder is reported as gone.
   core::Duration takeover_from_suspect_after = std::chrono::milliseconds(500);
-  /// A heartbeat may be this old when it is seen, while the store is slow.
+  /// Maximum age of a heartbeat when it is first seen, while the store is slow.
   core::Duration heartbeat_transit = std::chrono::milliseconds(600);
-  /// Bids of several processes are spread over this.
+  /// Range of the random delay of bids.
   core::Duration bid_spread = std::chrono::milliseconds(200);
-  /// A process on a small machine bids this much later, so that a larger one is first.
+  /// Additional delay of bids from a process on a small machine, so that a larger one wins.
   core::Duration bid_delay{};
-  /// The holder's heartbeat comes with every write of its term; each process reads the
-  /// term no more often than this.
+  /// Minimum interval between two reads of the term. The holder's heartbeat is updated with every
+  /// write of its term.
   core::Duration feed_interval = std::chrono::milliseconds(150);
   core::Duration tick = std::chrono::milliseconds(100);
-  /// Longer gaps between ticks mean that this process was paused.
+  /// A longer gap between ticks means that this process was paused.
   core::Duration longest_gap = std::chrono::milliseconds(500);
-  /// Without an answer of the store for this long, silence proves nothing.
+  /// If the store has not answered for this long, silence of the heartbeat is not evidence.
   core::Duration longest_store_silence = std::chrono::milliseconds(1000);
 };
 
-/// What else a process knows of the term's holder than its heartbeat.
+/// Status of the term's holder, from sources other than its heartbeat.
 enum class HolderStatus {
-  kUnknown,  ///< nothing that speaks against it
-  kSuspect,  ///< the members cannot reach it
-  kEnded,    ///< its process surely runs no more
+  kUnknown,  ///< no evidence against it
+  kSuspect,  ///< unreachable for the cluster members
+  kEnded,    ///< its process has terminated
 };
 
-/// What a process that does not hold the term has seen of it. Plain code.
+/// Decides when a process that does not hold the term bids for it. No I/O.
 class TermObserver {
  public:
   explicit TermObserver(const TermSettings& settings) : settings_(settings) {}
 
-  /// The term's or the heartbeat's record has changed.
-  /// \param heartbeat_age by the store's clock; only the first one seen counts, as
-  /// later ones are timed by their arrival
+  /// Must be called when the term's or the heartbeat's record has changed.
+  /// \param heartbeat_age by the store's clock; only the first one seen counts, as later ones are
+  /// timed by their arrival
   void on_change(core::MonotonicTime now, bool has_holder,
                  core::Duration heartbeat_age = core::Duration(0));
-  /// Another process holds the term. What the members said of it before it did proves
-  /// nothing: where a clock was set back, a process takes a later number for its life than
-  /// the one that its name holds, and would be taken for ended as long as it runs.
+  /// Records that another process holds the term. A report from before its term that it has
+  /// terminated is not valid: if a clock was set back, a process gets a later incarnation number
+  /// than the one in its name, and would count as terminated as long as it runs.
   void on_new_holder() { is_new_holder_ = true; }
   /// \param last_answer when the store last answered
-  /// \param spread between 0 and 1, drawn anew for each process
+  /// \param spread random number between 0 and 1, different for each process
   /// \return whether to bid for the term now.
   bool should_bid(core::MonotonicTime now, core::MonotonicTime last_answer, double spread,
-                  HolderStatus sign = HolderStatus::kUnknown);
-  /// This process could not coordinate yet: its bid delay counts from now on.
+                  HolderStatus status = HolderStatus::kUnknown);
+  /// Records that this process could not coordinate: its bid delay starts from \p now.
   void on_ineligible(core::MonotonicTime now) { ineligible_at_ = now; }
-  /// \return when either record last changed; the start of time before the first one.
+  /// \return when either record last changed; the epoch of the clock before the first change.
   core::MonotonicTime changed_at() const { return changed_at_.value_or(core::MonotonicTime()); }
 
  private:
-  core::Duration patience(HolderStatus sign) const;
-  /// \return \p sign, or nothing where it is an end from before the holder's term.
-  HolderStatus effective_status(HolderStatus sign);
+  core::Duration required_silence(HolderStatus status) const;
+  /// \return \p status, or kUnknown if it is a report of an end from before the holder's term.
+  HolderStatus effective_status(HolderStatus status);
 
   TermSettings settings_;
   bool has_holder_ = false;
-  bool is_new_holder_ = false;  ///< since the last look at its sign
-  bool ended_before_ = false;   ///< the sign of an end is older than the holder's term
+  bool is_new_holder_ = false;  ///< since its status was last evaluated
+  bool ended_before_ = false;   ///< the report of its end is older than the holder's term
   std::optional<core::MonotonicTime> changed_at_;
   std::optional<core::MonotonicTime> last_tick_;
-  std::optional<core::MonotonicTime> ineligible_at_;  ///< last time
+  std::optional<core::MonotonicTime> ineligible_at_;  ///< most recent time
 };
 
 class TermKeeper {
@@ -110,20 +110,20 @@
              const core::TimeSource& time, core::Metrics& metrics);
 
   void start();
-  /// Replaces the least time between two looks at the term.
+  /// Sets the minimum interval between two reads of the term.
   void set_feed_interval(core::Duration interval) { mirror_.set_feed_interval(interval); }
   const std::optional<Term>& held() const { return held_; }
-  /// \return when the last confirmed write was sent; only while held.
+  /// \return when the last confirmed write was sent; valid only while the term is held.
   core::MonotonicTime confirmed_at() const { return confirmed_at_; }
-  /// A write under the held term, sent at that time, was confirmed.
+  /// Records that a write under the held term, sent at \p sent_at, was confirmed.
   void on_confirmed(core::MonotonicTime sent_at);
-  /// The holder's writes have met another term.
+  /// Ends the held term after a write failed because of another term.
   void on_deposed(std::string_view reason);
-  /// \return when the term or its heartbeat last changed as seen from here.
+  /// \return when this process last saw the term or its heartbeat change.
   core::MonotonicTime changed_at() const { return watch_.changed_at(); }
-  /// Gives the term up for now; this process may bid again.
+  /// Releases the term; this process may bid again.
   boost::asio::awaitable<void> step_down();
-  /// Gives the term up, so that another process takes it at once; never bids again.
+  /// Releases the term, so that another process takes over at once; this process never bids again.
   boost::asio::awaitable<void> release();
 
  private:
--- a/src/jobs/term_session.cpp
+++ b/src/jobs/term_session.cpp
@@ -9,24 +9,25 @@
 namespace asio = boost::asio;
 namespace {
 constexpr core::Duration kAdoptionRetry = std::chrono::milliseconds(100);
-/// Between two looks whether a job that is bound to other regions may be worked on here.
+/// Interval at which a job bound to other regions is checked for whether this process may work on
+/// it.
 constexpr core::Duration kElsewhereRetry = std::chrono::milliseconds(500);
 constexpr double kMillisecondsPerSecond = 1000;
-/// Listed items at the end of a job whose lines in the log are kept.
+/// Number of last items of a job whose log lines are always kept.
 constexpr std::size_t kLastItemsKept = 12;
 constexpr core::Duration kLongestFlush = std::chrono::milliseconds(1200);
-/// A dispatch compares what waits with all replicas: 1 ms with 3,000 of them and five jobs
-/// (estimated). Changes within the shortest interval are placed together.
+/// A dispatch compares all waiting items with all replicas, which takes an estimated 1 ms for 3,000
+/// replicas and five jobs. Changes within the shortest interval are handled together.
 constexpr core::WorkPacerSettings kDispatches{.share = 0.1,
                                               .shortest_interval = std::chrono::milliseconds(4),
                                               .longest_interval = std::chrono::milliseconds(100)};
-/// Below the time within which an acknowledged end must be in force (3 s), with room for
-/// a request on its way.
+/// Less than the time within which an acknowledged end must take effect (3 s), with a margin for a
+/// request in flight.
 constexpr core::Duration kOldestIndexView = std::chrono::milliseconds(2200);
-/// A former holder that has stopped may have sent for this long before it did: as long as the
-/// span over which requests to a cold replica count, and a little for the way.
+/// Time before its end in which a previous holder may have sent requests: the span over which
+/// requests to a cold replica count, plus a margin for their transmission.
 constexpr core::Duration kLastSends = std::chrono::milliseconds(1100);
-/// A gap between ticks that means that this process was paused.
+/// A longer gap between ticks means that this process was paused.
 constexpr core::Duration kLongestGap = std::chrono::milliseconds(500);
 }  // namespace
 
@@ -34,15 +35,15 @@
   explicit Meters(core::Metrics& metrics)
       : open_jobs(metrics.gauge("stoneport_open_jobs", "Jobs that this coordinator works on")),
         job_seconds(metrics.seconds_histogram("stoneport_job_seconds",
-                                              "From a job's acceptance to its close")),
-        dispatch_seconds(metrics.seconds_histogram("stoneport_dispatch_seconds",
-                                                   "Time of one placing of all texts that wait")),
+                                              "Time from a job's acceptance to its end")),
+        dispatch_seconds(metrics.seconds_histogram(
+            "stoneport_dispatch_seconds", "Duration of one dispatch of all waiting texts")),
         dispatches_held_back(
             metrics.counter("stoneport_dispatches_held_back_total",
-                            "Times that nothing was placed as ends of jobs were not known")),
-        adoptions_held_back(
-            metrics.counter("stoneport_adoptions_held_back_total",
-                            "Looks at jobs whose regions do not allow this coordinator")) {}
+                            "Dispatches skipped because the view of the job index was stale")),
+        adoptions_held_back(metrics.counter(
+            "stoneport_adoptions_held_back_total",
+            "Attempts to adopt jobs whose regions do not allow this coordinator")) {}
   prometheus::Gauge& open_jobs;
   prometheus::Histogram& job_seconds;
   prometheus::Histogram& dispatch_seconds;
@@ -79,7 +80,7 @@
 }
 
 void TermSession::stop() {
-  over_ = true;
+  ended_ = true;
   extend_gate();
   index_->stop();
   writer_->stop();
@@ -88,9 +89,9 @@
     duty->stop();
   }
   for (const auto& [id, job] : jobs_) {
-    job->over = true;
+    job->is_closed = true;
   }
-  dispatcher_->cut(nullptr);
+  dispatcher_->cancel(nullptr);
   meters_->open_jobs.Set(0);
 }
 
@@ -101,10 +102,10 @@
   co_await writer_->flush(kLongestFlush);
 }
 
-/// Learns which jobs need no more work, then follows the index.
+/// Reads which jobs need no more work, then follows the index.
 asio::awaitable<void> TermSession::begin(std::shared_ptr<TermSession> self) {
   bool known = false;
-  while (!self->over_ && !known) {
+  while (!self->ended_ && !known) {
     ports::RecordRange range{std::string(kWholeTable), std::string(kTermPartition)};
     const core::Result<std::vector<ports::Record>> whole =
         co_await self->inputs_.jobs.read_range(std::move(range), false);
@@ -113,7 +114,7 @@
       self->closed_.insert(record.key);
     }
   }
-  if (!self->over_) {
+  if (!self->ended_) {
     self->index_->start();
   }
 }
@@ -121,7 +122,7 @@
 std::vector<OpenJobPointer> TermSession::open_jobs() const {
   std::vector<OpenJobPointer> open;
   for (const auto& [id, job] : jobs_) {
-    if (!job->over) {
+    if (!job->is_closed) {
       open.push_back(job);
     }
   }
@@ -129,7 +130,7 @@
 }
 
 void TermSession::on_index(const records::TableMirror::Records& records) {
-  if (over_) {
+  if (ended_) {
     return;
   }
   std::uint64_t malformed = 0;
@@ -156,7 +157,7 @@
 
 asio::awaitable<void> TermSession::adopt(std::shared_ptr<TermSession> self, std::string id,
                                          JobIndexEntry entry, bool is_fresh) {
-  while (!self->over_ && !self->closed_.contains(id)) {
+  while (!self->ended_ && !self->closed_.contains(id)) {
     if (!self->can_process_job(entry)) {
       self->meters_->adoptions_held_back.Increment();
       co_await runtime::sleep_for(kElsewhereRetry);
@@ -164,7 +165,7 @@
     }
     core::Result<OpenJobPointer> adopted =
         co_await adopt_job(self->inputs_.jobs, self->inputs_.parser, id, entry, is_fresh);
-    if (self->over_ || self->closed_.contains(id)) {
+    if (self->ended_ || self->closed_.contains(id)) {
       break;
     }
     if (adopted) {
@@ -210,11 +211,11 @@
 }
 
 void TermSession::close(const OpenJobPointer& job, std::string_view reason) {
-  job->over = true;
+  job->is_closed = true;
   closed_.insert(job->job.id);
   jobs_.erase(job->job.id);
   record_lengths(*job);
-  dispatcher_->cut(job);
+  dispatcher_->cancel(job);
   meters_->open_jobs.Set(static_cast<double>(jobs_.size()));
   const std::optional<ports::StoreTime> now = inputs_.store.now();
   if (now) {
@@ -256,14 +257,14 @@
 }
 
 void TermSession::dispatch_soon() {
-  if (dispatch_pending_ || over_) {
+  if (dispatch_pending_ || ended_) {
     return;
   }
   dispatch_pending_ = true;
   runtime::start(inputs_.executor, "dispatch", dispatch_after_pause(shared_from_this()));
 }
 
-/// What changes within a few milliseconds is placed together.
+/// Handles changes within a few milliseconds in one dispatch.
 asio::awaitable<void> TermSession::dispatch_after_pause(std::shared_ptr<TermSession> self) {
   const core::Duration wait = self->dispatch_pacer_.wait(self->inputs_.time.now());
   if (wait > core::Duration(0)) {
@@ -273,9 +274,9 @@
   self->dispatch();
 }
 
-/// An end that the store has acknowledged must stop its job's items: without a fresh
-/// view of the index nothing new may start. The age is that of the store's answer and not of
-/// its arrival here: in a process that falls behind answers wait before they are read.
+/// An end that the store has acknowledged must stop its job's items, so nothing new may start
+/// without a fresh view of the index. The age is measured from when the store answered and not from
+/// when the answer was read: in a process that falls behind, answers wait before they are read.
 bool TermSession::has_fresh_index() const {
   const std::optional<ports::StoreTime> now = inputs_.store.now();
   const std::optional<ports::StoreTime> seen = index_->seen_at();
@@ -286,7 +287,7 @@
 }
 
 void TermSession::dispatch() {
-  if (over_ || handing_over_) {
+  if (ended_ || handing_over_) {
     return;
   }
   if (!has_fresh_index()) {
@@ -299,7 +300,7 @@
     refresh_route(*job);
   }
   std::erase_if(jobs, [this](const OpenJobPointer& job) {
-    return !job->binding.allows(settings_.region);  // its bodies may not go out from here
+    return !job->binding.allows(settings_.region);  // its bodies must not be sent from this region
   });
   dispatcher_->dispatch(jobs);
   const core::MonotonicTime ended = inputs_.time.now();
@@ -324,8 +325,8 @@
     self->list(job, item, ResultState::kCompleted, "");
     co_return;
   }
-  std::function<bool()> is_wanted = [tenure = self.get(), open = job.get(), item] {
-    return !tenure->over_ && !open->over && open->items[item].state == ItemState::kScoring;
+  std::function<bool()> is_wanted = [session = self.get(), open = job.get(), item] {
+    return !session->ended_ && !open->is_closed && open->items[item].state == ItemState::kScoring;
   };
   const Score score =
       co_await self->scorer_->score(*call, is_wanted, self->rating_priority_of(*job));
@@ -373,7 +374,7 @@
   const MadeAt made = progress.made_at.value_or(MadeAt());
   const core::Duration age =
       inputs_.store.now().value_or(listed.job->entry.accepted_at) - listed.job->entry.accepted_at;
-  // A step ends with its last texts: what held it must not be dropped.
+  // A step ends with its last texts, so the log lines that explain its end must not be dropped.
   const bool is_among_last = position + kLastItemsKept >= listed.job->items.size();
   core::log_decision(
       core::DecisionEvent::kItemListed,
@@ -392,7 +393,7 @@
   lengths_.note(item.id, {text.events.size(), is_completed});
   text.events.clear();
   text.versions.clear();
-  if (listed.job->listed == listed.job->items.size() && !listed.job->over) {
+  if (listed.job->listed == listed.job->items.size() && !listed.job->is_closed) {
     const OpenJobPointer job = listed.job;
     close(job, "whole");
   }
@@ -420,11 +421,11 @@
   const core::MonotonicTime now = inputs_.time.now();
   const bool is_awake = now - last_tick_ < kLongestGap;
   const bool is_confirmed = now - keeper_.confirmed_at() < settings_.order_confirmation;
-  return !over_ && !handing_over_ && is_awake && is_confirmed;
+  return !ended_ && !handing_over_ && is_awake && is_confirmed;
 }
 
 void TermSession::extend_gate() {
-  const bool has_ended = over_ || handing_over_;
+  const bool has_ended = ended_ || handing_over_;
   const core::MonotonicTime sure_until =
       std::min(keeper_.confirmed_at() + settings_.order_confirmation, last_tick_ + kLongestGap);
   inputs_.directory.gate().cold_pace().keep_sure_until(has_ended ? core::MonotonicTime()
@@ -436,12 +437,12 @@
 }
 
 asio::awaitable<void> TermSession::load_order_history(std::shared_ptr<TermSession> self) {
-  while (!self->over_ && !self->order_history_loaded_) {
+  while (!self->ended_ && !self->order_history_loaded_) {
     ports::RecordRange range{std::string(kOrderTable), std::string(kTermPartition)};
     const core::Result<std::vector<ports::Record>> orders =
         co_await self->inputs_.jobs.read_range(std::move(range), false);
     if (!orders) {
-      continue;  // it has waited for the store already
+      continue;  // the call has already waited for the store
     }
     const core::MonotonicTime now = self->inputs_.time.now();
     for (const ports::Record& record : *orders) {
@@ -454,7 +455,7 @@
 
 asio::awaitable<std::optional<core::MonotonicTime>> TermSession::announce_order(
     std::shared_ptr<TermSession> self, core::ReplicaId replica) {
-  if (!self || self->over_) {
+  if (!self || self->ended_) {
     co_return std::nullopt;
   }
   std::shared_ptr<OrderAnnouncer> announcer = self->announcer_;
@@ -470,18 +471,18 @@
 }
 
 asio::awaitable<void> TermSession::sweep_loop(std::shared_ptr<TermSession> self) {
-  while (!self->over_) {
+  while (!self->ended_) {
     co_await runtime::sleep_for(self->settings_.sweep_interval);
     const std::optional<ports::StoreTime> now = self->inputs_.store.now();
-    if (self->over_ || !now) {
+    if (self->ended_ || !now) {
       continue;
     }
-    const auto is_finished = [&tenure = *self](const std::string& job) {
-      return tenure.closed_.contains(job);
+    const auto is_finished = [&session = *self](const std::string& job) {
+      return session.closed_.contains(job);
     };
     for (const ExpiredJob& job :
          expired_jobs(self->index_records(), *now, self->settings_.retention, is_finished)) {
-      if (!self->over_) {
+      if (!self->ended_) {
         co_await self->sweeper_->sweep(job);
       }
     }
@@ -489,7 +490,7 @@
 }
 
 asio::awaitable<void> TermSession::tick_loop(std::shared_ptr<TermSession> self) {
-  while (!self->over_) {
+  while (!self->ended_) {
     const core::MonotonicTime now = self->inputs_.time.now();
     const bool was_paused = now - self->last_tick_ > kLongestGap;
     self->last_tick_ = now;
--- a/src/jobs/term_session.hpp
+++ b/src/jobs/term_session.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The coordinator's work within one term. Holds all open jobs; ended by stop(),
-/// after which nothing of it touches a replica or the store. Belongs to the
-/// coordinator's thread; its coroutines share it.
+/// The coordinator's work within one term. Owns all open jobs. After stop() it does not access
+/// replicas or the store any more. Used from the coordinator's thread; its coroutines share
+/// ownership of it.
 #pragma once
 
 #include <map>
@@ -30,7 +30,7 @@
   void start();
   void stop();
   void dispatch_soon();
-  /// Stops placing, and saves what the texts in the making have.
+  /// Stops placing texts and checkpoints the unfinished ones.
   boost::asio::awaitable<void> hand_over();
 
  private:
@@ -51,10 +51,10 @@
                                             JobIndexEntry entry, bool is_fresh);
   void open(const OpenJobPointer& job, bool is_fresh);
   void close(const OpenJobPointer& job, std::string_view reason);
-  /// Keeps how long the texts of \p job were, for groups that come back.
+  /// Records the lengths of the texts of \p job, for groups that are resubmitted.
   void record_lengths(const OpenJob& job);
   void restore_lengths(OpenJob& job) const;
-  /// \return whether the job's body may be read by this process, by its regions.
+  /// \return whether the job's regions allow this process to read its body.
   bool can_process_job(const JobIndexEntry& entry) const;
   void refresh_route(OpenJob& job) const;
   void expire_items();
@@ -63,8 +63,8 @@
   bool has_fresh_index() const;
   void dispatch();
 
-  /// \return the rank of \p job and when its results are due, by this process's clock; none while
-  /// the store's clock is not known, or when its route states no time.
+  /// \return the rank of \p job and when its results are due, by this process's clock; none if the
+  /// store's clock is unknown or its route has no deadline.
   std::optional<RatingPriority> rating_priority_of(const OpenJob& job) const;
   static boost::asio::awaitable<void> score(std::shared_ptr<TermSession> self, OpenJobPointer job,
                                             std::size_t item);
@@ -76,9 +76,9 @@
   /// Whether this process may act on its term now.
   bool can_act_on_term() const;
   bool may_order() const;
-  /// Tells the gate until when no other process coordinates, for all that this one knows.
+  /// Tells the send gate until when this process can rely on being the only coordinator.
   void extend_gate();
-  /// Learns which replicas a former holder has ordered lately.
+  /// Reads which replicas previous holders ordered recently.
   static boost::asio::awaitable<void> load_order_history(std::shared_ptr<TermSession> self);
   static boost::asio::awaitable<std::optional<core::MonotonicTime>> announce_order(
       std::shared_ptr<TermSession> self, core::ReplicaId replica);
@@ -91,7 +91,7 @@
   std::unique_ptr<Meters> meters_;
   std::map<std::string, OpenJobPointer> jobs_;
   std::set<std::string> adopting_;
-  std::set<std::string> closed_;  ///< ids that need no more work
+  std::set<std::string> closed_;  ///< ids of jobs that need no more work
   LengthHistory lengths_;
   std::unique_ptr<records::TableMirror> index_;
   std::shared_ptr<TermWriter> writer_;
@@ -106,7 +106,7 @@
   bool order_history_loaded_ = false;
   bool dispatch_pending_ = false;
   bool handing_over_ = false;
-  bool over_ = false;
+  bool ended_ = false;
 };
 
 }  // namespace stoneport::jobs
--- a/src/jobs/term_session_parts.cpp
+++ b/src/jobs/term_session_parts.cpp
@@ -1,5 +1,5 @@
-// The part of TermSession that makes its parts and tells them whom to call. Each listener holds the
-// tenure weakly: a part that still runs when the term ends calls nobody.
+// TermSession: creates its parts and connects their listeners. Each listener holds the session
+// weakly, so a part that still runs after the term has ended calls nothing.
 #include "jobs/term_session.hpp"
 #include "runtime/tasks.hpp"
 
@@ -35,9 +35,9 @@
 void TermSession::make_dispatcher() {
   const std::weak_ptr<TermSession> weak = weak_from_this();
   ItemDispatcher::Listener listener;
-  listener.on_whole = [weak](const OpenJobPointer& job, std::size_t item) {
+  listener.on_complete = [weak](const OpenJobPointer& job, std::size_t item) {
     const auto self = weak.lock();
-    if (self && !self->over_) {
+    if (self && !self->ended_) {
       runtime::start(self->inputs_.executor, "scoring", score(self, job, item));
     }
   };
--- a/src/jobs/term_writer.cpp
+++ b/src/jobs/term_writer.cpp
@@ -10,7 +10,7 @@
 namespace asio = boost::asio;
 namespace {
 
-/// Entries that a transaction needs beside results and checkpoints.
+/// Entries of a transaction besides results and checkpoints.
 constexpr std::size_t kOwnEntries = 3;
 constexpr core::Duration kFlushCheck = std::chrono::milliseconds(10);
 
@@ -48,13 +48,13 @@
                                       "Attempts that the store did not confirm")),
       results_(metrics.counter("stoneport_results_listed_total", "Results listed")),
       events_(metrics.counter("stoneport_checkpoint_events_total",
-                              "Events of unfinished texts that the store took")),
+                              "Events of unfinished texts that were checkpointed")),
       commit_seconds_(metrics.seconds_histogram("stoneport_coordinator_commit_seconds",
-                                                "Time of one confirmed transaction")) {}
+                                                "Duration of confirmed transactions")) {}
 
 void TermWriter::start() {
-  // Of a slow store the bid has told; learning it anew by timeouts would leave the
-  // heartbeat silent for longer than others wait.
+  // The bid has shown how slow the store is; learning that again from timeouts would leave the
+  // heartbeat silent for longer than other processes wait.
   timeout_.begin_with(term_.bid_latency);
   next_heartbeat_ = time_.now() + settings_.heartbeat_interval;
   next_checkpoint_ = time_.now() + settings_.checkpoint_interval;
@@ -73,7 +73,7 @@
 
 asio::awaitable<void> TermWriter::flush(core::Duration limit) {
   const core::MonotonicTime give_up_at = time_.now() + limit;
-  // A transaction that is under way now may lack the newest events.
+  // A transaction in flight may lack the newest events.
   const std::uint64_t wanted = flushes_done_ + 2;
   flushes_wanted_ = wanted;
   wake_.cancel();
@@ -132,7 +132,7 @@
   std::size_t bytes = 0;
   while (!queue_.empty()) {
     const OpenJobPointer job = queue_.front().job;
-    if (job->over) {
+    if (job->is_closed) {
       queue_.pop_front();
       continue;
     }
@@ -241,7 +241,7 @@
   co_return read->records.size() == 1 && read->records.front().value == ours.front().value;
 }
 
-/// Either the term is another's, or an earlier attempt of this batch was done.
+/// Either another process holds the term, or an earlier attempt of this batch was committed.
 asio::awaitable<TermWriter::Settled> TermWriter::settle_conflict(const Batch& batch) {
   while (!stopped_) {
     const std::optional<bool> holds = co_await term_holds();
--- a/src/jobs/term_writer.hpp
+++ b/src/jobs/term_writer.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// All writes of a term's holder, one transaction at a time: results, checkpoints
-/// and the heartbeat go together. One stream of writes adapts to the store's speed
-/// by itself; several would queue behind one another when it is slow. A result's
-/// position is given once: a write whose answer was lost is settled before the next.
-/// Belongs to the coordinator's thread, for one term.
+/// Performs all writes of a term's holder, one transaction at a time: results, checkpoints and the
+/// heartbeat share transactions. A single stream of writes adapts to the speed of the store;
+/// several would queue behind one another when it is slow. Each result gets its position once: a
+/// write whose answer was lost is resolved before the next one is sent. Used from the coordinator's
+/// thread, for one term.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -19,12 +19,12 @@
 namespace stoneport::jobs {
 
 struct TermWriterSettings {
-  /// Results that come within this time are listed together.
+  /// Time for which results are collected into one transaction.
   core::Duration batch_delay = std::chrono::milliseconds(15);
   core::Duration heartbeat_interval = std::chrono::milliseconds(300);
   core::Duration checkpoint_interval = std::chrono::milliseconds(300);
   core::Duration retry_pause = std::chrono::milliseconds(80);
-  /// Of the largest transaction: room for keys and the encoding.
+  /// Usable fraction of the largest transaction; the rest is for keys and the encoding.
   double usable_share = 0.6;
 };
 
@@ -39,7 +39,7 @@
   struct Listener {
     std::function<std::vector<OpenJobPointer>()> open_jobs;
     std::function<void(const PendingResult&, std::uint64_t position)> on_listed;
-    /// A write that was sent at that time has been confirmed.
+    /// A write that was sent at \p sent_at was confirmed.
     std::function<void(core::MonotonicTime sent_at)> on_confirmed;
     std::function<void(std::string_view reason)> on_deposed;
   };
@@ -50,11 +50,11 @@
   void start();
   void stop();
   void add(PendingResult result);
-  /// Writes all that is there, within \p limit.
+  /// Writes everything that is pending, within \p limit.
   boost::asio::awaitable<void> flush(core::Duration limit);
 
  private:
-  /// One transaction and what it carries.
+  /// One transaction and its contents.
   struct Batch {
     ports::RecordTransaction transaction;
     std::vector<PendingResult> results;
@@ -67,14 +67,14 @@
   static boost::asio::awaitable<void> run(std::shared_ptr<TermWriter> self);
   boost::asio::awaitable<void> wait_for_work();
   Batch next_batch();
-  /// Moves results from the queue into \p batch. \return the bytes that they take.
+  /// Moves results from the queue into \p batch. \return their size in bytes.
   std::size_t take_results(Batch& batch, std::size_t usable_bytes);
   static void append(Batch& batch, PendingResult result, std::uint64_t position,
                      std::vector<ports::RecordWrite> writes);
   boost::asio::awaitable<core::Result<core::Revision>> attempt(Batch& batch);
   boost::asio::awaitable<Settled> settle(Batch& batch);
   boost::asio::awaitable<Settled> settle_conflict(const Batch& batch);
-  /// \return whether the store still holds our term; nothing when it does not say.
+  /// \return whether the store still holds this term; nothing if it does not answer.
   boost::asio::awaitable<std::optional<bool>> term_holds();
   boost::asio::awaitable<std::optional<bool>> holds_first_result(const Batch& batch);
   void finish(const Batch& batch);
--- a/src/jobs/text_attempt.cpp
+++ b/src/jobs/text_attempt.cpp
@@ -50,7 +50,7 @@
   return end;
 }
 
-/// \return why an event of \p version must not stand in \p text.
+/// \return why an event of \p version must not be part of \p text; nothing if it may.
 std::optional<std::string> objection(const ItemText& text,
                                      std::optional<core::WeightVersion> version,
                                      const TextRules& rules) {
@@ -72,7 +72,7 @@
 
 std::string_view to_string(AttemptEndKind kind) {
   switch (kind) {
-    case AttemptEndKind::kWhole:
+    case AttemptEndKind::kComplete:
       return "whole";
     case AttemptEndKind::kNotRun:
       return "not_run";
@@ -86,7 +86,7 @@
       return "impossible";
     case AttemptEndKind::kUnfit:
       return "unfit";
-    case AttemptEndKind::kCut:
+    case AttemptEndKind::kCancelled:
       return "cut";
   }
   return "unknown";
@@ -140,7 +140,7 @@
   if (text.events.empty()) {
     co_return ended(AttemptEndKind::kBroken, "the stream has no event", version);
   }
-  co_return ended(AttemptEndKind::kWhole, "", version);
+  co_return ended(AttemptEndKind::kComplete, "", version);
 }
 
 }  // namespace stoneport::jobs
--- a/src/jobs/wanted_weights.cpp
+++ b/src/jobs/wanted_weights.cpp
@@ -5,9 +5,10 @@
 namespace stoneport::jobs {
 namespace {
 
-/// Of the newest job in a model's moving average.
+/// Weight of the newest job in a model's moving average.
 constexpr double kDemandWeight = 0.3;
-/// Of the most texts at once, when another job opens: a pause of some steps forgets little.
+/// Fraction of the maximum of concurrent texts that is kept when another job opens; a pause of some
+/// steps changes it little.
 constexpr double kTextsKept = 0.95;
 
 double tokens_of(const Job& job) {
@@ -66,7 +67,7 @@
     weights::WantedVersion entry;
     entry.service = *service;
     entry.version = version;
-    // Steps to come accept the version before the newest one.
+    // Future steps accept the version before the newest one.
     entry.oldest_allowed = core::WeightVersion(version.value() > 1 ? version.value() - 1 : 1);
     for (const OpenJobPointer& job : open) {
       if (job->job.model == model) {
--- a/src/jobs/wanted_weights.hpp
+++ b/src/jobs/wanted_weights.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which versions of which models the replicas should have, from what trainers have
-/// named and from the open jobs. Belongs to the coordinator's thread, for one term.
+/// Determines which versions of which models the replicas should load, from the versions named by
+/// trainers and from the open jobs. Used from the coordinator's thread, for one term.
 #pragma once
 
 #include <functional>
@@ -18,21 +18,21 @@
  public:
   using NamedVersions = std::function<std::map<core::ModelName, core::WeightVersion>()>;
 
-  /// All outlive it.
+  /// All arguments must outlive this.
   WantedWeights(NamedVersions named, const ingress::RouteTableHolder& routes,
                 const ingress::ReplicaDirectory& directory)
       : named_(std::move(named)), routes_(routes), directory_(directory) {}
 
-  /// Learns the demand for a job's model: the tokens of a usual job, and the texts that are
-  /// made at once.
-  /// \param open all open jobs, with \p job
+  /// Updates the demand for a job's model: the tokens of a typical job, and the number of texts
+  /// generated concurrently.
+  /// \param open all open jobs, including \p job
   void note_job(const Job& job, const std::vector<OpenJobPointer>& open);
-  /// \return an entry for each model that was named a version or has had a job, if any
-  /// replica has it.
+  /// \return an entry for each model with a named version or a previous job, if any replica serves
+  /// it.
   weights::WantedVersions wanted(const std::vector<OpenJobPointer>& open) const;
 
  private:
-  /// \return the service whose replicas have \p model; nothing when there is none.
+  /// \return the service whose replicas serve \p model; nothing if there is none.
   std::optional<core::ServiceName> service_of(const core::ModelName& model) const;
 
   NamedVersions named_;
--- a/src/records/probed_store.cpp
+++ b/src/records/probed_store.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 core::Error lost() {
-  return core::make_error(core::ErrorCode::kUnavailable, "the store serves this process nothing");
+  return core::make_error(core::ErrorCode::kUnavailable, "the store does not serve this process");
 }
 
 }  // namespace
@@ -21,9 +21,9 @@
       time_(time),
       settings_(settings),
       probes_(metrics.counter("stoneport_store_probes_total",
-                              "Reads that asked whether a lost store serves again")),
+                              "Probe reads that check whether a lost store is back")),
       held_back_(metrics.counter("stoneport_store_calls_held_back_total",
-                                 "Calls that were not sent as the store was lost")) {}
+                                 "Calls not sent because the store was lost")) {}
 
 void ProbedStore::start() {
   runtime::start(executor_, "store probe",
--- a/src/records/probed_store.hpp
+++ b/src/records/probed_store.hpp
@@ -1,9 +1,8 @@
 /// \file
-/// A record store in front of another one that may fall silent or serve other processes
-/// only. While it serves this one nothing, a short read asks again and again, and calls
-/// wait for that in place of being sent: none of them hangs on a connection of before, so
-/// all go on within a few ms of the store's return, and none of them has an unclear end.
-/// Belongs to the thread of its executor.
+/// Wraps a record store that may become silent or serve only other processes. While it does not
+/// serve this one, a short read probes it repeatedly, and calls wait for the probe instead of being
+/// sent: no call hangs on a connection from before the outage, so all resume within a few ms of the
+/// store's return, and none has an unknown outcome. Used from the thread of its executor only.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -14,31 +13,31 @@
 namespace stoneport::records {
 
 struct ProbedStoreSettings {
-  /// The store counts as lost when it has served nothing for this long. Feeds are answered
-  /// within 0.8 s while it is well.
+  /// The store counts as lost when it has served nothing for this long. Feeds are answered within
+  /// 0.8 s while it is healthy.
   core::Duration lost_after = std::chrono::milliseconds(1300);
-  /// Quick probes see a store that is well within some 200 ms of its return.
+  /// Quick probes detect a healthy store within about 200 ms of its return.
   core::Duration probe_interval = std::chrono::milliseconds(80);
   core::Duration probe_timeout = std::chrono::milliseconds(100);
-  /// Patient ones, beside them, see one that is back but slow.
+  /// Concurrent patient probes detect a store that is back but slow.
   core::Duration patient_interval = std::chrono::milliseconds(400);
   core::Duration patient_timeout = std::chrono::milliseconds(900);
-  /// How often a call that waits looks whether the store is back.
+  /// Interval at which a waiting call checks whether the store is back.
   core::Duration wait_step = std::chrono::milliseconds(20);
 };
 
 class ProbedStore : public ports::RecordStore {
  public:
-  /// \param store outlives this; so do \p time and \p metrics
+  /// \param store must outlive this; so must \p time and \p metrics
   /// \param probe a range that is cheap to read
   ProbedStore(boost::asio::any_io_executor executor, ports::RecordStore& store,
               ports::RecordRange probe, const core::TimeSource& time, core::Metrics& metrics,
               ProbedStoreSettings settings = {});
-  /// Begins to probe; the probing lives as long as the executor runs.
+  /// Starts the probes, which run as long as the executor does.
   void start();
   bool is_lost() const;
 
-  /// \return kUnavailable, never sent, when the store was lost for all of \p timeout.
+  /// \return kUnavailable, without sending anything, if the store was lost for all of \p timeout.
   boost::asio::awaitable<core::Result<core::Revision>> commit(ports::RecordTransaction transaction,
                                                               core::Duration timeout) override;
   boost::asio::awaitable<core::Result<ports::RecordPage>> read(ports::RecordRange range,
@@ -54,7 +53,7 @@
 
  private:
   boost::asio::awaitable<void> probe_loop(core::Duration interval, core::Duration timeout);
-  /// \return whether the store serves, at once or within \p limit.
+  /// \return whether the store serves this process, at once or within \p limit.
   boost::asio::awaitable<bool> serves_within(core::Duration limit);
 
   boost::asio::any_io_executor executor_;
--- a/src/records/store_monitor.cpp
+++ b/src/records/store_monitor.cpp
@@ -1,12 +1,13 @@
-#include "core/decision_log.hpp"
 #include "records/store_monitor.hpp"
+
+#include "core/decision_log.hpp"
 #include "runtime/tasks.hpp"
 
 namespace stoneport::records {
 namespace asio = boost::asio;
 namespace {
 constexpr core::Duration kCheckInterval = std::chrono::milliseconds(500);
-/// Feeds are answered within a second while the store is well.
+/// Feeds are answered within a second while the store is healthy.
 constexpr core::Duration kLongestSilence = std::chrono::milliseconds(2000);
 }  // namespace
 
--- a/src/records/store_monitor.hpp
+++ b/src/records/store_monitor.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Tells in the log and the metrics when the store stops answering this process and
-/// when it answers again. Belongs to the thread of its executor.
+/// Reports in the log and the metrics when the store stops answering this process and when it
+/// answers again. Used from the thread of its executor only.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,7 +13,7 @@
 
 class StoreMonitor {
  public:
-  /// All outlive the watch, which lives as long as the process.
+  /// All arguments must outlive the monitor, which lives as long as the process.
   StoreMonitor(boost::asio::any_io_executor executor, const ports::RecordStore& store,
                const core::TimeSource& time, core::Metrics& metrics);
   void start();
--- a/src/records/table_follower.cpp
+++ b/src/records/table_follower.cpp
@@ -12,8 +12,8 @@
 namespace asio = boost::asio;
 namespace {
 
-/// \return the last one of each key, in the order in which they came: a row that was removed and
-/// written again within one answer is there.
+/// \return the last record of each key, in the order of arrival: a row that was removed and written
+/// again within one answer exists.
 std::vector<ports::Record> last_of_each_key(std::vector<ports::Record> records) {
   std::unordered_set<std::string> keys;
   std::vector<ports::Record> last;
@@ -39,26 +39,26 @@
 struct TableFollower::State {
   struct Known {
     core::Revision revision;
-    std::uint32_t listing = 0;  ///< the last listing that held the row
+    std::uint32_t listing = 0;  ///< the last listing that contained the row
   };
   using KnownRows = std::map<std::string, Known>;
 
-  /// A listing that is under way.
+  /// A listing in progress.
   struct Listing {
     std::string next_key;
-    /// Of its first page: changes behind that are told again by the feed.
+    /// Revision of its first page; the feed reports later changes again.
     std::optional<core::Revision> revision;
     std::optional<ports::StoreTime> answered_at;
-    bool has_told = false;  ///< an earlier page differed from what was known
+    bool has_reported = false;  ///< an earlier page differed from the known rows
   };
 
-  /// A table that is read again, from one key around to the same key.
+  /// A pass that reads the table again, from one key around to the same key.
   struct Reread {
     std::string first_key;
     std::string next_key;
-    bool has_begun = false;      ///< a page has come: what changes from then on, the feed tells
+    bool has_begun = false;      ///< a page has arrived: the feed reports all changes from then on
     bool has_wrapped = false;    ///< past the last key of the table
-    bool is_overloaded = false;  ///< the feed has more to tell than can be followed until next_at
+    bool is_overloaded = false;  ///< the feed has more changes than can be followed until next_at
     core::MonotonicTime next_at{};
   };
 
@@ -72,12 +72,12 @@
   RereadOptions reread_options;
   std::optional<Listing> listing = Listing();
   std::optional<Reread> reread;
-  std::uint32_t listings = 1;  ///< begun so far
-  std::string next_check;      ///< key with which the next check begins
-  std::size_t row_bytes = 0;   ///< mean of the last page that was read; zero before the first
+  std::uint32_t listings = 1;  ///< number started so far
+  std::string next_check;      ///< key at which the next check starts
+  std::size_t row_bytes = 0;   ///< mean of the last page read; zero before the first
   core::Revision position;
   core::MonotonicTime last_answer{};
-  core::MonotonicTime last_told{};  ///< by the feed, a listing or a check
+  core::MonotonicTime last_report{};  ///< last report by the feed, a listing or a check
   std::optional<ports::StoreTime> seen_at;
   bool loaded = false;
   bool stopped = false;
@@ -93,7 +93,7 @@
     ++listings;
   }
 
-  /// The history is lost, or the feed has left something out.
+  /// Starts over after the history was lost or the feed has missed a change.
   void read_again() {
     if (!loaded || !reread_options.pause) {
       begin_listing();
@@ -102,13 +102,13 @@
     Reread again;
     again.first_key = reread_options.first_key();
     again.next_key = again.first_key;
-    // A history that is lost over and over costs no more pages than one that is lost once.
+    // A history that is lost repeatedly costs no more pages than one that is lost once.
     again.next_at = reread ? reread->next_at : core::MonotonicTime();
     reread = std::move(again);
   }
 
-  /// Takes in a row that is there. \return whether it is new or newer than what was known.
-  bool take(const ports::Record& record) {
+  /// Records a row that exists. \return whether it is new or newer than the known one.
+  bool record_row(const ports::Record& record) {
     Known& known = rows[record.key];
     known.listing = listings;
     const bool is_news = known.revision < record.revision;
@@ -118,17 +118,17 @@
     return is_news;
   }
 
-  void take_page(std::vector<ports::Record> records, RowChanges& changes) {
+  void record_page(std::vector<ports::Record> records, RowChanges& changes) {
     for (ports::Record& record : records) {
-      if (take(record)) {
+      if (record_row(record)) {
         changes.written.push_back(std::move(record));
       }
     }
   }
 
-  void take_change(ports::Record record, RowChanges& changes) {
+  void record_change(ports::Record record, RowChanges& changes) {
     if (!record.removed) {
-      if (take(record)) {
+      if (record_row(record)) {
         changes.written.push_back(std::move(record));
       }
       return;
@@ -140,8 +140,8 @@
     }
   }
 
-  /// Removes those of the rows from \p first to before \p last that the present listing did not
-  /// hold.
+  /// Removes the rows from \p first up to, but not including, \p last that the present listing did
+  /// not contain.
   void drop_missing(KnownRows::iterator first, KnownRows::iterator last, RowChanges& changes) {
     while (first != last) {
       if (first->second.listing == listings) {
@@ -153,13 +153,13 @@
     }
   }
 
-  /// Compares the rows from \p first_key to before \p end_key (all behind it, when that is empty)
-  /// with those that the store has there now.
+  /// Compares the known rows from \p first_key up to, but not including, \p end_key (all after \p
+  /// first_key if that is empty) with those that the store has there now.
   RowChanges compare(std::vector<ports::Record> records, const std::string& first_key,
                      const std::string& end_key) {
     ++listings;
     RowChanges changes;
-    take_page(std::move(records), changes);
+    record_page(std::move(records), changes);
     const auto end = end_key.empty() ? rows.end() : rows.lower_bound(end_key);
     drop_missing(rows.lower_bound(first_key), end, changes);
     return changes;
@@ -179,7 +179,8 @@
     }
   }
 
-  /// \return the rows of a page that is read again; zero for as many as the store gives.
+  /// \return the number of rows to request for a page that is read again; zero for the store's
+  /// maximum.
   std::size_t most_rows() const {
     if (!reread_options.most_page_bytes || row_bytes == 0) {
       return 0;
@@ -187,8 +188,8 @@
     return std::max<std::size_t>(reread_options.most_page_bytes() / row_bytes, 1);
   }
 
-  /// \return whether \p record tells a change that the feed has passed over.
-  bool was_passed_over(const ports::Record& record) const {
+  /// \return whether \p record shows a change that the feed has missed.
+  bool was_missed(const ports::Record& record) const {
     const auto known = rows.find(record.key);
     const bool is_news = known == rows.end() || known->second.revision < record.revision;
     return is_news && record.revision <= position;
@@ -233,7 +234,7 @@
 asio::awaitable<void> TableFollower::run(std::shared_ptr<State> state) {
   while (!state->stopped) {
     const core::MonotonicTime now = http::monotonic_now();
-    const core::Duration quiet = now - state->last_told;
+    const core::Duration quiet = now - state->last_report;
     bool answered = true;
     if (state->listing) {
       answered = co_await list_page(state);
@@ -260,14 +261,14 @@
     co_return false;
   }
   state->last_answer = http::monotonic_now();
-  state->last_told = state->last_answer;
+  state->last_report = state->last_answer;
   if (state->stopped) {
     co_return true;
   }
   State::Listing& listing = *state->listing;
   if (!listing.revision) {
     if (page->revision < state->position) {
-      state->begin_listing();  // older than what is known
+      state->begin_listing();  // older than the known state
       co_return false;
     }
     listing.revision = page->revision;
@@ -279,9 +280,9 @@
   if (changes.more) {
     listing.next_key = ports::key_after(page->records.back().key);
   }
-  state->take_page(std::move(page->records), changes);
-  listing.has_told |= !changes.empty();
-  const bool ends_listing = !changes.more && (listing.has_told || !state->loaded);
+  state->record_page(std::move(page->records), changes);
+  listing.has_reported |= !changes.empty();
+  const bool ends_listing = !changes.more && (listing.has_reported || !state->loaded);
   if (!changes.more) {
     state->finish_listing(changes);
   }
@@ -299,7 +300,7 @@
     co_return false;
   }
   state->last_answer = http::monotonic_now();
-  state->last_told = state->last_answer;
+  state->last_report = state->last_answer;
   if (state->stopped || page->revision < state->position) {
     co_return true;
   }
@@ -309,11 +310,11 @@
   if (has_more) {
     state->next_check = ports::key_after(page->records.back().key);
   }
-  const bool was_passed_over =
+  const bool was_missed =
       std::any_of(page->records.begin(), page->records.end(),
-                  [&](const ports::Record& row) { return state->was_passed_over(row); });
+                  [&](const ports::Record& row) { return state->was_missed(row); });
   RowChanges changes = state->compare(std::move(page->records), first_key, state->next_check);
-  const bool is_feed_wrong = was_passed_over || !changes.removed.empty();
+  const bool is_feed_wrong = was_missed || !changes.removed.empty();
   if (is_whole) {
     state->position = page->revision;
     state->note_seen(page->answered_at);
@@ -339,12 +340,12 @@
     co_return false;
   }
   state->last_answer = http::monotonic_now();
-  state->last_told = state->last_answer;
+  state->last_report = state->last_answer;
   if (state->stopped) {
     co_return true;
   }
   if (page->revision < state->position) {
-    co_return false;  // older than what is known
+    co_return false;  // older than the known state
   }
   State::Reread& reread = *state->reread;
   if (!reread.has_begun) {
@@ -390,7 +391,7 @@
     if (is_history_lost) {
       state->read_again();
     } else {
-      state->last_told = {};  // a read tells sooner whether the store is back
+      state->last_report = {};  // a read detects the return of the store sooner
     }
     co_return is_history_lost && !was_reading_again;
   }
@@ -399,12 +400,12 @@
   if (page->records.empty()) {
     co_return true;
   }
-  state->last_told = state->last_answer;
+  state->last_report = state->last_answer;
   std::erase_if(page->records,
                 [&](const ports::Record& record) { return record.partition != state->partition; });
   RowChanges changes;
   for (ports::Record& record : last_of_each_key(std::move(page->records))) {
-    state->take_change(std::move(record), changes);
+    state->record_change(std::move(record), changes);
   }
   state->position = std::max(state->position, page->revision);
   if (!changes.empty()) {
--- a/src/records/table_follower.hpp
+++ b/src/records/table_follower.hpp
@@ -1,15 +1,15 @@
 /// \file
-/// Follows one partition of one table by the store's feed and tells what has changed. Keeps the
-/// revision of each row and not its value, so that a process that needs a table in a form of its
-/// own holds it once. Belongs to the thread of its executor.
+/// Follows one partition of one table through the store's change feed and reports what has changed.
+/// Stores the revision of each row but not its value, so that a process that converts a table to a
+/// form of its own holds it only once. Used from the thread of its executor only.
 ///
-/// A feed may fall silent or lose its history. The table is listed whole at the start and where
-/// the history is lost; a listing goes on at the page that failed. A feed that has told nothing
-/// for a while is checked against one page of the table, the next page each time: what a quiet
-/// table costs a process does not grow with the table. Where a lost history would make every
-/// process of a large fleet list a large table at the same moment, or where the feed has more to
-/// tell than one answer holds, the part that a process needs is read first and the rest at a pace,
-/// while the feed is followed on from there.
+/// A feed may become silent or lose its history. The whole table is listed at the start and when
+/// the history is lost; a listing resumes at the page that failed. A feed that has reported nothing
+/// for a while is checked against one page of the table, a different one each time, so that the
+/// cost of a quiet table does not grow with its size. When a lost history would make every process
+/// of a large fleet list a large table at the same moment, or when the feed has more changes than
+/// one answer holds, the part that the process needs most is read first and the rest at a limited
+/// pace, while the feed continues from there.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -25,31 +25,31 @@
 
 struct TableFollowerOptions {
   core::Duration feed_wait = std::chrono::milliseconds(800);
-  /// Least time between two answers of the feed: changes that come meanwhile are read
-  /// together, so that a busy table costs each process a bounded number of calls.
+  /// Minimum interval between two answers of the feed: changes in between are read together, so
+  /// that a busy table costs each process a bounded number of calls.
   core::Duration feed_interval{};
-  /// The feed is checked when it has told nothing for this long.
+  /// The feed is checked when it has reported nothing for this long.
   core::Duration list_interval = std::chrono::milliseconds(2500);
   core::Duration read_timeout = std::chrono::milliseconds(1000);
   core::Duration retry_delay = std::chrono::milliseconds(150);
 };
 
-/// How a table that was listed whole is read again once its history is lost or far behind. Without
-/// a pause it is listed at once, and nothing of it is told before it is whole.
+/// How a table is read again after it was listed once and its history was lost or is far behind.
+/// Without a pause it is listed at once, and nothing is reported until the listing is complete.
 struct RereadOptions {
-  /// \return the key at which the part begins that is needed first; read without a pause.
+  /// Returns the first key of the part that is needed most; it is read without a pause.
   std::function<std::string()> first_key;
-  /// \return how long to wait after a page of so many bytes that took so long to read.
+  /// Returns how long to wait after a page of \p page_bytes that took \p took to read.
   std::function<core::Duration(std::size_t page_bytes, core::Duration took)> pause;
-  /// \return the largest page to read, in bytes; any may be read when this is empty.
+  /// Returns the largest page to read, in bytes; unlimited if empty.
   std::function<std::size_t()> most_page_bytes = {};
 };
 
-/// How a table differs from what was told before.
+/// Differences between a table and what was reported before.
 struct RowChanges {
   std::vector<ports::Record> written;
   std::vector<std::string> removed;  ///< keys
-  /// Further pages of the same listing follow: the table is not whole until then.
+  /// Further pages of the same listing follow: the table is incomplete until then.
   bool more = false;
 
   bool empty() const { return written.empty() && removed.empty(); }
@@ -59,9 +59,9 @@
  public:
   using Listener = std::function<void(RowChanges)>;
 
-  /// \param store outlives the follower
-  /// \param listener called for each change, and for the last page of the first listing also
-  /// when it holds nothing
+  /// \param store must outlive the follower
+  /// \param listener called for each change, and for the last page of the first listing even if
+  /// that is empty
   TableFollower(boost::asio::any_io_executor executor, ports::RecordStore& store, std::string table,
                 std::string partition, Listener listener, TableFollowerOptions options = {});
   ~TableFollower();
@@ -70,18 +70,18 @@
 
   void start();
   void stop();
-  /// To be called before start().
+  /// Must be called before start().
   void set_reread(RereadOptions options);
-  /// Replaces the least time between two answers of the feed.
+  /// Sets the minimum interval between two answers of the feed.
   void set_feed_interval(core::Duration interval);
-  /// \return whether the table was listed whole once.
+  /// \return whether the whole table was listed once.
   bool loaded() const;
-  /// \return the store's revision as of which the table is known.
+  /// \return the store's revision up to which the table is known.
   core::Revision position() const;
   /// \return when the store last answered this follower.
   core::MonotonicTime last_answer() const;
   /// \return the store's time up to which its changes are known here; nothing before the first
-  /// answer, or where answers do not name their time.
+  /// answer, or if answers carry no time.
   std::optional<ports::StoreTime> seen_at() const;
 
  private:
--- a/src/scaling/spot_plan.cpp
+++ b/src/scaling/spot_plan.cpp
@@ -11,7 +11,7 @@
   return known == limits.zone_prices.end() ? 1 : known->second;
 }
 
-/// \return the zones of \p fleet where replicas may be ordered, the cheapest first.
+/// \return the zones of \p fleet where replicas may be ordered, cheapest first.
 std::vector<core::ZoneName> by_price(const Fleet& fleet, const ScalingLimits& limits) {
   std::vector<core::ZoneName> zones;
   for (const auto& [zone, replicas] : fleet) {
--- a/tests/unit/jobs/cold_replicas_test.cpp
+++ b/tests/unit/jobs/cold_replicas_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Texts of jobs at replicas that are cold, or turn cold without notice, also while two
-/// processes coordinate.
+/// Texts on replicas that are cold, or become cold without notice, also while two processes
+/// coordinate.
 #include "unit/jobs/coordinator_world.hpp"
 
 namespace stoneport::jobs {
@@ -17,7 +17,7 @@
   static constexpr double kRate = 9.5;
   static constexpr std::size_t kAllowed = 19;  ///< in any second: the rate times 1.5, plus 5
 
-  /// One replica makes texts, in 12 ms each.
+  /// A single replica that takes 12 ms per text.
   struct OneReplica {
     OneReplica() {
       std::erase_if(world.records, [](const ingress::ReplicaRecord& record) {
@@ -51,7 +51,8 @@
     one.world.run_for(milliseconds(4000));
     const std::size_t begun = one.world.replicas.starts.size();
     CPPUNIT_ASSERT(one.most_in_a_second() <= static_cast<std::size_t>(kRate) + 1);
-    // Half the pace for 2.1 s, then all of it: it bears that, and gets it.
+    // Half the pace for 2.1 s, then the full pace: the replica can take these texts and must get
+    // them.
     CPPUNIT_ASSERT(begun >= 20);
   }
 
@@ -69,7 +70,7 @@
     CPPUNIT_ASSERT(one.most_in_a_second() <= kAllowed);
   }
 
-  /// The first is cut from the store and does not know that it is deposed.
+  /// The first process cannot reach the store and does not know that it is deposed.
   void two_processes_that_coordinate_stay_below_the_bound() {
     OneReplica one;
     World::Process first(one.world, "a");
@@ -94,7 +95,8 @@
     World::Process process(one.world, "a");
     OneReplica::limit(process);
     one.turn_cold(process);
-    one.world.replicas.replicas["m0"].event_gap = milliseconds(150);  // silence is 60 ms here
+    one.world.replicas.replicas["m0"].event_gap =
+        milliseconds(150);  // counts as silent after 60 ms here
     CPPUNIT_ASSERT(one.world.run_until([&] { return process.coordinator->holds_term(); }));
     one.world.submit(process, "job", 1);
     CPPUNIT_ASSERT(one.world.run_until([&] { return one.world.is_whole(process, "job", 1); }));
--- a/tests/unit/jobs/coordinator_term_test.cpp
+++ b/tests/unit/jobs/coordinator_term_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What holds when the coordinator changes, or hears nothing of the store.
+/// Change of the coordinator, and loss of its connection to the store.
 #include "unit/jobs/coordinator_world.hpp"
 
 namespace stoneport::jobs {
@@ -26,7 +26,7 @@
     world.submit(first, "short", 1);
     CPPUNIT_ASSERT(world.run_until([&] { return world.is_whole(first, "short", 1); }));
     const std::vector<JobResult> before = world.results(second, "job");
-    // The first one is cut from the store; it does not know that it is deposed.
+    // The first one cannot reach the store and does not know that it is deposed.
     first.eligible = false;
     first.store.cut = true;
     CPPUNIT_ASSERT(world.run_until([&] { return second.coordinator->holds_term(); }));
@@ -41,8 +41,8 @@
     }
   }
 
-  /// Terms changed hands on a slow store, as each new holder learned its speed by
-  /// timeouts (kwpd-topup, mix, seed 744861530223).
+  /// Guards against terms that change hands repeatedly on a slow store because each new holder
+  /// learns the store's speed from timeouts.
   void a_new_holder_keeps_the_term_on_a_slow_store() {
     World world;
     world.store.latency = milliseconds(300);
@@ -54,13 +54,13 @@
     CPPUNIT_ASSERT(!second.coordinator->holds_term());
   }
 
-  /// Its clock was set back between two starts: the members know it by a later life than its
-  /// name says.
+  /// Its clock was set back between two starts, so the members know a later incarnation than the
+  /// one in its name.
   void a_holder_reported_as_ended_keeps_its_term() {
     World world;
     World::Process second(world, "b", std::chrono::seconds(120), milliseconds(500));
     second.eligible = false;
-    second.sign = HolderStatus::kEnded;
+    second.status = HolderStatus::kEnded;
     world.run_for(milliseconds(50));
     World::Process first(world, "a", std::chrono::seconds(120), milliseconds(500));
     CPPUNIT_ASSERT(world.run_until([&] { return first.coordinator->holds_term(); }));
@@ -74,7 +74,7 @@
     World world;
     World::Process first(world, "a");
     CPPUNIT_ASSERT(world.run_until([&] { return first.coordinator->holds_term(); }));
-    // Another term begins without the first one's knowledge: it was frozen.
+    // Another term begins without the first process noticing, as if it had been frozen.
     const std::string term = world.store.table(kTermTable).at("term");
     const std::uint64_t epoch = decode_term(term)->epoch;
     ports::RecordTransaction taken;
@@ -104,7 +104,7 @@
     }());
     CPPUNIT_ASSERT(world.run_until([&] { return world.is_whole(second, "job", 4); }));
     world.check("hand-over", world.results(second, "job"));
-    // What the first had made was not made again.
+    // Texts that the first process generated were not generated again.
     for (std::size_t start = 4; start < world.replicas.starts.size(); ++start) {
       CPPUNIT_ASSERT(world.replicas.starts[start].resume_after > 0);
     }
@@ -126,7 +126,7 @@
     CPPUNIT_ASSERT(world.run_until([&] { return second.coordinator->holds_term(); }));
     world.named[core::ModelName("model")] = core::WeightVersion(3);
     CPPUNIT_ASSERT(world.run_until([&] { return world.replicas.all_orders.size() >= 4; }));
-    // Each replica is compared with its own last order by the first holder.
+    // Compares the order to each replica with the last one by the first holder.
     std::map<std::string, std::chrono::steady_clock::time_point> ordered_before;
     for (const auto& order : world.replicas.all_orders) {
       const auto before = ordered_before.find(order.replica);
@@ -144,7 +144,8 @@
     }
   }
 
-  /// Found on 300 machines: an item began 10 s after its job's end was acknowledged.
+  /// Guards against items that start after their job's end was acknowledged (by 10 s on 300
+  /// machines).
   void nothing_starts_on_a_stale_index() {
     World world;
     World::Process process(world, "a");
@@ -156,7 +157,7 @@
     world.submit(process, "job", 6);
     CPPUNIT_ASSERT(world.run_until([&] { return !world.replicas.starts.empty(); }));
     process.store.cut = true;
-    // A poll that was under way is still answered, up to 0.8 s later.
+    // A poll in flight is still answered, up to 0.8 s later.
     world.run_for(milliseconds(3200));
     const std::size_t started = world.replicas.starts.size();
     world.run_for(milliseconds(400));
@@ -169,8 +170,8 @@
     world.check("after the cut", world.results(process, "job"));
   }
 
-  /// Found on 300 machines: the coordinator fell behind and read its answers late; an item
-  /// began 3.2 s after its job's end was acknowledged.
+  /// Guards against a coordinator that falls behind and reads the store's answers late: on 300
+  /// machines an item started 3.2 s after its job's end was acknowledged.
   void answers_read_late_do_not_count_as_fresh() {
     World world;
     World::Process process(world, "a");
--- a/tests/unit/jobs/coordinator_test.cpp
+++ b/tests/unit/jobs/coordinator_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Jobs from acceptance to the last result under one coordinator, over a store and
-/// replicas with faults.
+/// Jobs from acceptance to the last result under one coordinator, with a faulty store and faulty
+/// replicas.
 #include "unit/jobs/coordinator_world.hpp"
 
 namespace stoneport::jobs {
@@ -115,7 +115,7 @@
   void texts_are_not_made_with_old_versions() {
     World world;
     world.parser.oldest_version = core::WeightVersion(2);
-    // One has the version that the listing promises; two lag behind it.
+    // One replica has the version that the directory states; two are older.
     for (ingress::ReplicaRecord& record : world.records) {
       record.versions[core::ModelName("model")] = core::WeightVersion(2);
     }
@@ -142,7 +142,7 @@
     CPPUNIT_ASSERT(world.store.table(kResultTable).empty());
     CPPUNIT_ASSERT(world.store.table(kWholeTable).empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.store.table(kBodyTable).size());
-    // One that is open stays, however old.
+    // An open job is kept, however old it is.
     CPPUNIT_ASSERT(world.run_until([&] { return world.is_whole(process, "open", 2); }));
   }
 
--- a/tests/unit/jobs/coordinator_world.hpp
+++ b/tests/unit/jobs/coordinator_world.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The world of the coordinator's tests: processes over one store and one set of
-/// replicas, both in memory and with faults. Lives on one io_context.
+/// Fixture of the coordinator's tests: processes that share one store and one set of replicas, both
+/// in memory and with injected faults, on one io_context.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -46,13 +46,13 @@
     return job;
   }
   core::WeightVersion oldest_version{1};
-  std::string shared_prefix;  ///< of the items' ids, so that they come back in another job
+  std::string shared_prefix;  ///< of the items' ids, so that another job can resubmit them
   std::uint64_t guess_factor = 1;
 };
 
 inline constexpr std::size_t kReplicas = 3;
 
-/// Two processes over one store and one set of replicas.
+/// Processes that share one store and one set of replicas.
 struct World {
   struct Process {
     Process(World& world, const std::string& name,
@@ -93,7 +93,7 @@
                                *forwarder,
                                [&world] { return world.named; },
                                [this] { return eligible; },
-                               [this](const std::string&) { return sign; },
+                               [this](const std::string&) { return status; },
                                world.time,
                                metrics,
                                [this] { return is_preferred_elsewhere; }};
@@ -108,7 +108,7 @@
     std::unique_ptr<ingress::Forwarder> forwarder;
     std::unique_ptr<Coordinator> coordinator;
     bool eligible = true;
-    HolderStatus sign = HolderStatus::kUnknown;  ///< what the members say of any holder
+    HolderStatus status = HolderStatus::kUnknown;  ///< what the members report about any holder
     bool is_preferred_elsewhere = false;
   };
 
@@ -147,8 +147,8 @@
     replicas.replicas[id] = {};
   }
 
-  /// Binds the jobs' route, and the one of rating calls if so wanted, to \p regions; in force for
-  /// processes that start from now on.
+  /// Binds the jobs' route, and optionally that of rating calls, to \p regions, for processes
+  /// started later.
   void bind_routes(const eligibility::Regions& regions, bool binds_scores) {
     std::vector<ingress::Route> routes = table->routes();
     routes[0].regions = regions;
@@ -213,10 +213,10 @@
   std::vector<ingress::ReplicaRecord> records;
   std::map<core::ModelName, core::WeightVersion> named;
   core::Duration order_pause = milliseconds(20);
-  bool fair_steps = false;                ///< of processes that start from now on
-  eligibility::ZoneRegions zone_regions;  ///< for processes that start from now on
-  core::RegionName region;                ///< of processes that start from now on
-  /// Destroyed first: streams that are still open touch what stands above.
+  bool fair_steps = false;                ///< of processes started later
+  eligibility::ZoneRegions zone_regions;  ///< of processes started later
+  core::RegionName region;                ///< of processes started later
+  /// Destroyed first, because streams that are still open access the members above.
   boost::asio::io_context context;
 };
 }  // namespace stoneport::jobs
--- a/tests/unit/jobs/evacuation_test.cpp
+++ b/tests/unit/jobs/evacuation_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Jobs while a zone is evacuated: nothing goes there on any path of the coordinator, and nothing
-/// is given up for it.
+/// Jobs while a zone is evacuated: the coordinator sends nothing there, and no item is given up
+/// because of it.
 #include "unit/jobs/coordinator_world.hpp"
 
 namespace stoneport::jobs {
@@ -55,7 +55,7 @@
     zones.evacuate({"east"});
     CPPUNIT_ASSERT(world.run_until([&] { return world.is_whole(*zones.process, "job", 30); }));
     CPPUNIT_ASSERT_EQUAL(before, zones.starts_at("m0"));
-    // Each text was begun once: those in the zone ended there.
+    // Each text was started once: those in the zone ended there.
     CPPUNIT_ASSERT_EQUAL(std::size_t{30}, world.replicas.starts.size());
     world.check("evacuated", world.results(*zones.process, "job"));
   }
@@ -85,7 +85,7 @@
     world.replicas.replicas["m0"].lose_orders = 1;
     world.named[core::ModelName("model")] = core::WeightVersion(2);
     world.submit(*zones.process, "job", 4);
-    // One order is on its way when the zone is evacuated: it is not followed up.
+    // One order is in flight when the zone is evacuated; no further one may follow.
     const auto ordered = [&](const std::string& replica) {
       return std::any_of(world.replicas.all_orders.begin(), world.replicas.all_orders.end(),
                          [&](const auto& order) { return order.replica == replica; });
--- a/tests/unit/jobs/fair_steps_test.cpp
+++ b/tests/unit/jobs/fair_steps_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Jobs that can't all be whole in time, on a whole coordinator: none is left unfinished.
+/// Jobs that cannot all be completed in time, with a complete coordinator: none may remain
+/// unfinished.
 #include "unit/jobs/coordinator_world.hpp"
 
 namespace stoneport::jobs {
--- a/tests/unit/jobs/faster_replicas_test.cpp
+++ b/tests/unit/jobs/faster_replicas_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Texts of jobs on replicas of unlike speed, and groups that come back.
+/// Texts on replicas of different speed, and resubmitted groups.
 #include "unit/jobs/coordinator_world.hpp"
 
 namespace stoneport::jobs {
@@ -14,8 +14,8 @@
   CPPUNIT_TEST(long_texts_of_a_younger_job_start_before_short_ones);
   CPPUNIT_TEST_SUITE_END();
 
-  /// A world in which the law of lengths and the speeds are known, and all replicas but
-  /// the slow one have just become unusable.
+  /// Fixture in which lengths and speeds can be estimated, and all replicas but the slow one have
+  /// just become unusable.
   struct SlowStart {
     SlowStart() : process(world, "a") {
       world.replicas.replicas["m0"].event_gap = milliseconds(12);
@@ -67,7 +67,8 @@
     CPPUNIT_ASSERT(!slow->is_suspect(start.world.time.now()));
   }
 
-  /// Several times as long as a text is left at a silent replica, wherever it goes.
+  /// The first event takes several times as long as a text may stay on a silent replica, wherever
+  /// it is moved.
   void a_text_whose_first_event_takes_long_is_completed() {
     World world;
     World::Process process(world, "a");
@@ -79,14 +80,14 @@
     CPPUNIT_ASSERT(world.replicas.starts.size() <= 6);
   }
 
-  /// Without a fresh view of ends no text may be begun, so none is taken from where it is.
+  /// Without a fresh index no text may start, so none may be taken from its replica.
   void no_text_is_moved_while_the_index_is_stale() {
     SlowStart start;
     start.world.submit(start.process, "job", 1);
     CPPUNIT_ASSERT(start.world.run_until([&] { return !start.world.replicas.starts.empty(); }));
     start.world.replicas.text_length = 600;
     start.process.store.cut = true;
-    // A poll that was under way is still answered, up to 0.8 s later.
+    // A poll in flight is still answered, up to 0.8 s later.
     start.world.run_for(milliseconds(3200));
     start.fast_ones_accept(true);
     start.world.run_for(milliseconds(400));
@@ -112,7 +113,7 @@
     CPPUNIT_ASSERT(support::run_task(world.context, process.jobs.end({}, "first")).has_value());
     CPPUNIT_ASSERT(world.run_until([&] { return world.replicas.running["again.0"] == 0; }));
     world.replicas.starts.clear();
-    // Its guesses say that item 15 is the longest; items 0 to 2 are known to be longer.
+    // By the guesses item 15 is the longest; items 0 to 2 are known to be longer.
     world.submit(process, "second", 16);
     CPPUNIT_ASSERT(world.run_until([&] { return world.replicas.starts.size() >= 12; }));
     std::set<std::string> first;
--- a/tests/unit/jobs/job_records_test.cpp
+++ b/tests/unit/jobs/job_records_test.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// Records of jobs and results: what is written is read back, and what is broken
-/// or not whole is left out.
+/// Encoding and decoding of jobs and results; malformed or incomplete records are skipped.
 #include "jobs/job_records.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/unit/jobs/job_regions_test.cpp
+++ b/tests/unit/jobs/job_regions_test.cpp
@@ -31,7 +31,7 @@
     World world;
     divide(world);
     world.bind_routes({kWest}, true);
-    // A rating call in the east would have to be made again after each of these failures.
+    // A rating call in the east would have to be repeated after each of these failures.
     world.replicas.replicas["r0"].fail = 1000;
     World::Process process(world, "a");
     world.submit(process, "job", 10);
--- a/tests/unit/jobs/job_store_test.cpp
+++ b/tests/unit/jobs/job_store_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Accepting, ending and reading jobs over a store that loses answers, acts late,
-/// is down or answers with an older state.
+/// Accepting, ending and reading jobs with a store that loses answers, applies writes late, is down
+/// or returns stale state.
 #include "jobs/job_store.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -88,7 +88,7 @@
   }
 
   void a_refused_job_never_exists() {
-    // A write held back may be done later: only "unknown" may be told then.
+    // A delayed write may still be applied later, so only "unknown" may be reported.
     World world;
     world.store.faults.act_late = 1000;
     const core::Result<void> accepted = world.accept("job");
@@ -97,8 +97,8 @@
     CPPUNIT_ASSERT(world.store.table(kIndexTable).contains("job"));
   }
 
-  /// A machine cut from the store held jobs for 2.9 s before it refused them
-  /// (docs/incidents/2026-12-02-abay-cut-machine.md).
+  /// Guards against a machine that is disconnected from the store holding jobs for 2.9 s before it
+  /// refuses them.
   void a_lost_store_is_not_waited_for() {
     for (const bool is_lost : {false, true}) {
       World world;
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT(read.has_value());
     CPPUNIT_ASSERT_EQUAL(body, read->body);
     CPPUNIT_ASSERT_EQUAL(std::string("/jobs/"), read->path);
-    // One that exceeds a transaction is written ahead; its index record comes last.
+    // A body that exceeds a transaction is written ahead; its index record comes last.
     World large;
     large.store.store_limits.transaction_bytes = 20'000;
     large.store.store_limits.record_bytes = 1'000;
@@ -141,7 +141,7 @@
     CPPUNIT_ASSERT(read_large.has_value());
     CPPUNIT_ASSERT_EQUAL(large_body, read_large->body);
     CPPUNIT_ASSERT(large.accept("job", large_body).has_value());
-    // Cut off half way, it does not exist.
+    // If interrupted half way, the job does not exist.
     World half;
     half.store.store_limits = large.store.store_limits;
     half.store.fail_after(3);
--- a/tests/unit/jobs/length_estimator_test.cpp
+++ b/tests/unit/jobs/length_estimator_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How long texts are expected to be, from guesses, whole texts and earlier attempts.
+/// Estimated lengths of texts, from guesses, complete texts and earlier attempts.
 #include "jobs/length_estimator.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,33 +19,34 @@
   CPPUNIT_TEST(history_is_bounded);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Guesses are in units of which 50 make an event, right in the median, off by a factor
-  /// of 1.5 either way.
-  static LengthEstimator law() {
-    LengthEstimator law;
+  /// Guesses are in units of which 50 make an event, correct in the median, and off by a factor of
+  /// 1.5 either way.
+  static LengthEstimator estimator() {
+    LengthEstimator estimator;
     for (int round = 0; round < 40; ++round) {
-      law.note_whole(1000, 20);
-      law.note_whole(1000, 30);
-      law.note_whole(1500, 20);
+      estimator.record_complete(1000, 20);
+      estimator.record_complete(1000, 30);
+      estimator.record_complete(1500, 20);
     }
-    return law;
+    return estimator;
   }
 
   void guesses_rank_texts_before_any_completes() {
-    const LengthEstimator law;
-    CPPUNIT_ASSERT(!law.is_known());
-    CPPUNIT_ASSERT(law.median_remaining({.guess = 200}) > law.median_remaining({.guess = 100}));
-    CPPUNIT_ASSERT(law.median_remaining({.guess = 100, .seen = 500}) >
-                   law.median_remaining({.guess = 200}));
-    CPPUNIT_ASSERT(law.median_remaining({}) > 0);
+    const LengthEstimator estimator;
+    CPPUNIT_ASSERT(!estimator.is_known());
+    CPPUNIT_ASSERT(estimator.median_remaining({.guess = 200}) >
+                   estimator.median_remaining({.guess = 100}));
+    CPPUNIT_ASSERT(estimator.median_remaining({.guess = 100, .seen = 500}) >
+                   estimator.median_remaining({.guess = 200}));
+    CPPUNIT_ASSERT(estimator.median_remaining({}) > 0);
   }
 
   void guesses_are_corrected_by_complete_texts() {
-    CPPUNIT_ASSERT(law().is_known());
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(20, law().median_remaining({.guess = 1000}), 2);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(100, law().median_remaining({.guess = 5000}), 10);
+    CPPUNIT_ASSERT(estimator().is_known());
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(20, estimator().median_remaining({.guess = 1000}), 2);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(100, estimator().median_remaining({.guess = 5000}), 10);
     LengthEstimator unchanged;
-    unchanged.note_whole(1000, 0);
+    unchanged.record_complete(1000, 0);
     CPPUNIT_ASSERT(!unchanged.is_known());
   }
 
@@ -53,16 +54,17 @@
     for (const std::uint64_t made : {0u, 10u, 20u, 30u, 150u}) {
       const LengthEvidence evidence{.guess = 1000, .made = made};
       const std::string about = std::to_string(made);
-      CPPUNIT_ASSERT_MESSAGE(about,
-                             law().mean_remaining(evidence) >= law().median_remaining(evidence));
-      CPPUNIT_ASSERT_MESSAGE(about,
-                             law().p90_remaining(evidence) >= law().mean_remaining(evidence));
+      CPPUNIT_ASSERT_MESSAGE(
+          about, estimator().mean_remaining(evidence) >= estimator().median_remaining(evidence));
+      CPPUNIT_ASSERT_MESSAGE(
+          about, estimator().p90_remaining(evidence) >= estimator().mean_remaining(evidence));
     }
-    CPPUNIT_ASSERT(law().mean_remaining({.guess = 1000}) > law().median_remaining({.guess = 1000}));
-    // A length that is known is the same in all.
-    const LengthEvidence told{.guess = 1000, .made = 10, .seen = 25, .seen_whole = true};
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(15, law().mean_remaining(told), 0.01);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(15, law().p90_remaining(told), 0.01);
+    CPPUNIT_ASSERT(estimator().mean_remaining({.guess = 1000}) >
+                   estimator().median_remaining({.guess = 1000}));
+    // A known length is the same in all estimates.
+    const LengthEvidence told{.guess = 1000, .made = 10, .seen = 25, .seen_complete = true};
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(15, estimator().mean_remaining(told), 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(15, estimator().p90_remaining(told), 0.01);
   }
 
   void a_text_that_outlasts_its_guess_has_more_to_come() {
@@ -80,22 +82,22 @@
         {"no guess", {.guess = 0, .made = 40}, 4, 5},
     };
     for (const Case& one : cases) {
-      const double rest = law().median_remaining(one.evidence);
+      const double rest = estimator().median_remaining(one.evidence);
       CPPUNIT_ASSERT_MESSAGE(one.name + " " + std::to_string(rest),
                              rest >= one.least && rest <= one.most);
     }
   }
 
   void earlier_attempts_improve_the_estimate() {
-    const LengthEvidence whole{.guess = 1000, .made = 0, .seen = 160, .seen_whole = true};
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(160, law().median_remaining(whole), 0.1);
-    const LengthEvidence half{.guess = 1000, .made = 60, .seen = 160, .seen_whole = true};
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(100, law().median_remaining(half), 0.1);
+    const LengthEvidence whole{.guess = 1000, .made = 0, .seen = 160, .seen_complete = true};
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(160, estimator().median_remaining(whole), 0.1);
+    const LengthEvidence half{.guess = 1000, .made = 60, .seen = 160, .seen_complete = true};
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(100, estimator().median_remaining(half), 0.1);
     const LengthEvidence at_least{.guess = 1000, .made = 0, .seen = 100};
-    CPPUNIT_ASSERT(law().median_remaining(at_least) >= 100);
-    // What is there already tells more than a shorter text that was said to be whole.
-    const LengthEvidence wrong{.guess = 1000, .made = 60, .seen = 10, .seen_whole = true};
-    CPPUNIT_ASSERT(law().median_remaining(wrong) >= 6);
+    CPPUNIT_ASSERT(estimator().median_remaining(at_least) >= 100);
+    // Existing events outweigh a shorter text that was reported as complete.
+    const LengthEvidence wrong{.guess = 1000, .made = 60, .seen = 10, .seen_complete = true};
+    CPPUNIT_ASSERT(estimator().median_remaining(wrong) >= 6);
   }
 
   void history_keeps_the_more_informative_length() {
--- a/tests/unit/jobs/open_job_test.cpp
+++ b/tests/unit/jobs/open_job_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The order in which the items of open jobs are placed.
+/// Order in which the items of open jobs start.
 #include "jobs/open_job.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -66,11 +66,11 @@
   }
 
   void the_longest_remaining_text_starts_first() {
-    const LengthEstimator law;
+    const LengthEstimator estimator;
     OpenJob made = job(nullptr, 0, {10, 40, 20, 40, 30});
     made.items[2].seen = ObservedLength{160, false};
     made.order_is_stale = true;
-    made.make_start_order(law);
+    made.make_start_order(estimator);
     CPPUNIT_ASSERT(!made.order_is_stale);
     CPPUNIT_ASSERT((made.start_order == std::vector<std::size_t>{2, 1, 3, 4, 0}));
   }
@@ -78,19 +78,19 @@
   void earlier_due_or_longer_texts_start_first() {
     ingress::Route route;
     route.run_deadline = milliseconds(7500);
-    const LengthEstimator law;
+    const LengthEstimator estimator;
     const core::Duration gap = milliseconds(40);
     const OpenJob older = job(&route, 1, {10, 100});
     const OpenJob younger = job(&route, 2, {10, 100});
-    CPPUNIT_ASSERT(older.latest_start(0, law, gap) < younger.latest_start(0, law, gap));
-    CPPUNIT_ASSERT(older.latest_start(1, law, gap) < older.latest_start(0, law, gap));
-    CPPUNIT_ASSERT(younger.latest_start(1, law, gap) < older.latest_start(0, law, gap));
-    // Nothing is known of speed: by age alone.
-    CPPUNIT_ASSERT(younger.latest_start(1, law, {}) > older.latest_start(0, law, {}));
-    CPPUNIT_ASSERT(older.latest_start(0, law, gap) == milliseconds(1000 + 7500 - 400));
+    CPPUNIT_ASSERT(older.latest_start(0, estimator, gap) < younger.latest_start(0, estimator, gap));
+    CPPUNIT_ASSERT(older.latest_start(1, estimator, gap) < older.latest_start(0, estimator, gap));
+    CPPUNIT_ASSERT(younger.latest_start(1, estimator, gap) < older.latest_start(0, estimator, gap));
+    // Without a known speed, by age alone.
+    CPPUNIT_ASSERT(younger.latest_start(1, estimator, {}) > older.latest_start(0, estimator, {}));
+    CPPUNIT_ASSERT(older.latest_start(0, estimator, gap) == milliseconds(1000 + 7500 - 400));
   }
 
-  /// Three groups of two: of 30, 100 and 50 events; two are wanted.
+  /// Three groups of two, with 30, 100 and 50 events; two are wanted.
   static OpenJob three_groups() {
     OpenJob made = job(nullptr, 0, {10, 20, 40, 60, 30, 20});
     const std::vector<std::string> groups = {"a", "a", "b", "b", "c", "c"};
@@ -122,18 +122,18 @@
 
   void remaining_work_counts_the_most_complete_groups() {
     OpenJob made = three_groups();
-    const LengthEstimator law;
-    StepWork work = made.remaining_work(law);
+    const LengthEstimator estimator;
+    StepWork work = made.remaining_work(estimator);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(80, work.rest, 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(30, work.longest, 0.01);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(0, work.whole_share, 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(0, work.complete_share, 0.01);
     made.items[2].state = ItemState::kListed;
     made.items[3].state = ItemState::kReady;
-    work = made.remaining_work(law);
+    work = made.remaining_work(estimator);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(30, work.rest, 0.01);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, work.whole_share, 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, work.complete_share, 0.01);
     made.job.wanted_groups = 0;  // all
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(80, made.remaining_work(law).rest, 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(80, made.remaining_work(estimator).rest, 0.01);
   }
 };
 
--- a/tests/unit/jobs/order_announcer_test.cpp
+++ b/tests/unit/jobs/order_announcer_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Orders that are announced together cost one write, and none goes out unannounced.
+/// Orders announced together cost one write, and none is sent unannounced.
 #include "jobs/order_announcer.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -54,7 +54,7 @@
     announce(term, 250);
     CPPUNIT_ASSERT_EQUAL(std::size_t{250}, announced_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{250}, store_.table(kOrderTable).size());
-    // A hundred entries fit into a transaction; the first one goes out at once.
+    // A transaction holds a hundred entries; the first announcement is written at once.
     CPPUNIT_ASSERT(store_.commits <= 4);
   }
 
@@ -64,8 +64,8 @@
         co_await OrderAnnouncer::announce(announcer, core::replica_life("replica", born));
     announced_ += sent_at ? 1 : 0;
   }
-  /// An order to the life before may be on its way to this one; a version of this program that
-  /// knows no lives reads the row too.
+  /// An order to the previous incarnation may be in flight and reach this one. Older versions of
+  /// this program, which do not know incarnations, also read the row.
   void lives_of_a_replica_are_announced_under_its_name() {
     const Term term = begin_term();
     const auto announcer =
--- a/tests/unit/jobs/placement_test.cpp
+++ b/tests/unit/jobs/placement_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Where texts are placed, by measured speed, and which moves are worth their cost.
+/// Placement of texts by measured speed, and which moves are worth their cost.
 #include "jobs/placement.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -36,7 +36,7 @@
       std::vector<ReplicaLoad> loads;
       std::string home;
       std::set<core::ReplicaId> excluded;
-      std::string expected;  ///< empty: nowhere
+      std::string expected;  ///< empty: none
     };
     const core::ReplicaId a("a");
     const core::ReplicaId b("b");
@@ -69,7 +69,8 @@
     }
   }
 
-  /// Speeds of like replicas differ by 2 % as measured: texts were placed by that alone.
+  /// Measured speeds of equal replicas differ by 2 %; guards against placing texts by that
+  /// difference alone.
   void long_texts_get_the_emptiest_of_like_replicas() {
     ReplicaLoad with_long = load("a", 1, 49);
     with_long.long_running = 1;
@@ -116,7 +117,7 @@
     CPPUNIT_ASSERT(fastest_gap_with_room({load("a", 4, 30)}) == core::Duration::max());
   }
 
-  /// Plays \p length of events of \p running texts.
+  /// Simulates \p length of events of \p running texts.
   static void play(ReplicaSpeeds& speeds, const std::string& id, std::uint32_t running,
                    core::Duration gap, core::Duration length, core::MonotonicTime& now) {
     const core::MonotonicTime until = now + length;
