--- a/tests/unit/jobs/rating_quota_test.cpp
+++ b/tests/unit/jobs/rating_quota_test.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// Which places rating calls get while clients crowd their service of 36 places, whose calls take
-/// 200 ms: the share rises as the due time nears, falls back when there is slack, and neither
-/// ratings nor clients starve.
+/// Places for rating calls while clients crowd their service of 36 places, with calls of 200 ms:
+/// the quota rises as the due time nears and falls again when there is slack, and neither ratings
+/// nor clients starve.
 #include "jobs/rating_quota.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -43,13 +43,13 @@
     const Case cases[] = {
         {0, milliseconds(0), kUsual, kUsual},
         {20, milliseconds(5000), kUsual, kUsual},
-        {20, milliseconds(1000), kUsual, kUsual},  // 10 would do for half of the time
+        {20, milliseconds(1000), kUsual, kUsual},  // 10 suffice for half of the time
         {20, milliseconds(400), 20, 20},           // each place has time for one call
-        {20, milliseconds(-100), 20, 20},          // late: as soon as may be
+        {20, milliseconds(-100), 20, 20},          // late: as soon as possible
         {300, milliseconds(20'000), kUsual, kUsual},
         {300, milliseconds(5000), 24, 28},  // 25 for half of the time
-        {300, milliseconds(2000), 30, 32},  // 30 are needed, a tenth is left
-        {340, milliseconds(2000), 34, 34},  // in time with more than nine tenths only
+        {300, milliseconds(2000), 30, 32},  // 30 are needed, a tenth is reserved
+        {340, milliseconds(2000), 34, 34},  // in time only with more than nine tenths
         {360, milliseconds(2000), 36, 36},  // in time with all
         {300, milliseconds(1000), 32, 32},  // cannot be in time
     };
@@ -86,11 +86,12 @@
 
   struct Played {
     std::size_t unrated_when_due = 0;
-    std::uint32_t for_clients = 0;               ///< places times rounds, until the step is due
+    std::uint32_t for_clients = 0;  ///< sum of places over rounds until the step is due
     std::uint32_t fewest_for_clients = kPlaces;  ///< in any round
   };
-  /// A crowd takes each place that ratings leave. Each round takes one call's time.
-  /// \param places_in of the service, in the round
+  /// Simulates a crowd that takes each place that ratings leave. A round takes the time of one
+  /// call.
+  /// \param places_in number of places of the service in a round
   template <class PlacesIn>
   static Played play(std::size_t texts, core::Duration due, PlacesIn places_in) {
     Played played;
@@ -109,7 +110,7 @@
     return played;
   }
 
-  /// The fixed share under pressure took all 36 places for the first 1.6 s.
+  /// The fixed share under pressure would take all 36 places for the first 1.6 s.
   void a_step_is_rated_in_time_and_clients_get_the_rest() {
     const auto all = [](std::uint32_t) { return kPlaces; };
     for (const std::size_t texts : {20, 300, 600, 800}) {
@@ -151,7 +152,7 @@
     CPPUNIT_ASSERT(!is_crowded(counts));
     counts.sends = 10;
     counts.sends_refused = 10;
-    CPPUNIT_ASSERT(!is_crowded(counts));  // too few to tell
+    CPPUNIT_ASSERT(!is_crowded(counts));  // too few to be meaningful
     counts.sends = 400;
     CPPUNIT_ASSERT(!is_crowded(counts));
     counts.sends_refused = 20;
--- a/tests/unit/jobs/scorer_test.cpp
+++ b/tests/unit/jobs/scorer_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Rating calls leave places of their service to clients, are counted as the route
+/// Rating calls leave places of their service to clients, are repeated as often as the route
 /// allows, and get the time that they need.
 #include "jobs/scorer.hpp"
 
@@ -59,7 +59,7 @@
       routes.offer(std::make_shared<ingress::RouteTable>(1, std::vector<ingress::Route>{route},
                                                          ingress::ClientLimits()));
     }
-    /// What runs ends before what it uses.
+    /// Lets running calls end before the members that they use are destroyed.
     ~World() {
       is_wanted = false;
       context.restart();
@@ -86,14 +86,14 @@
 
     bool is_wanted = true;
 
-    void score(const std::string& id, std::optional<RatingPriority> claim = std::nullopt) {
+    void score(const std::string& id, std::optional<RatingPriority> priority = std::nullopt) {
       boost::asio::co_spawn(
           context,
           scorer.score(
-              {id, "host", "/score/x", "body"}, [this] { return is_wanted; }, claim),
+              {id, "host", "/score/x", "body"}, [this] { return is_wanted; }, priority),
           [this](std::exception_ptr, Score score) { scores.push_back(std::move(score)); });
     }
-    /// Runs until \p count texts have their end, for \p longest at most.
+    /// Runs until \p count texts have been scored or given up, for at most \p longest.
     void run_until_scored(std::size_t count, core::Duration longest) {
       const auto give_up_at = std::chrono::steady_clock::now() + longest;
       while (scores.size() < count && std::chrono::steady_clock::now() < give_up_at) {
@@ -105,7 +105,7 @@
       context.restart();
       context.run_for(length);
     }
-    /// Has enough texts rated that the usual time of a call is known.
+    /// Rates enough texts that the usual duration of a call is known.
     void learn_usual_time(core::Duration answer_time) {
       set_answer_time(answer_time);
       for (int text = 0; text < 30; ++text) {
@@ -140,7 +140,7 @@
       World world(replica_count);
       const std::uint32_t places = replica_count * 5;
       const std::uint32_t usual = places * 2 / 5;
-      // A few calls keep to the usual share, many to the share under pressure.
+      // A few calls stay within the usual share, many use the share under pressure.
       const std::uint32_t calls = is_pressed ? 40 : 2 * usual;
       const std::uint32_t allowed = is_pressed ? places : usual;
       for (std::uint32_t call = 0; call < calls; ++call) {
@@ -162,7 +162,7 @@
   void in_a_crowd_the_quota_follows_from_the_due_time() {
     struct Case {
       std::string name;
-      int refusals;  ///< of the calls before: others take the places
+      int refusals;  ///< of the previous calls, while others take the places
       std::optional<core::Duration> due_in;
       bool is_switched_on;
       std::uint32_t allowed;
@@ -181,12 +181,12 @@
       world.replicas.replicas["r0"].refuse = one.refusals;
       world.learn_usual_time(milliseconds(20));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(one.name, 0, world.replicas.replicas["r0"].refuse);
-      std::optional<RatingPriority> claim;
+      std::optional<RatingPriority> priority;
       if (one.due_in) {
-        claim = RatingPriority{0, world.time.now() + *one.due_in};
+        priority = RatingPriority{0, world.time.now() + *one.due_in};
       }
       for (int call = 0; call < 40; ++call) {
-        world.score("s" + std::to_string(call), claim);
+        world.score("s" + std::to_string(call), priority);
       }
       std::uint32_t most = 0;
       const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(5);
@@ -200,8 +200,8 @@
     }
   }
 
-  /// 30 texts of a step that has time, then 10 of a step due earlier, then 10 of a higher rank:
-  /// while they wait for 8 places, the later ones overtake.
+  /// 30 texts of a step that has time, then 10 of a step due earlier, then 10 of a higher rank,
+  /// wait for 8 places: the later ones overtake.
   void in_a_crowd_texts_are_ordered_by_rank_and_due_time() {
     World world(4);
     world.replicas.replicas["r0"].refuse = 10;
@@ -209,12 +209,12 @@
     world.set_answer_time(milliseconds(60));
     const core::MonotonicTime now = world.time.now();
     std::vector<std::string> rated;
-    const auto submit = [&](const std::string& step, int texts, const RatingPriority& claim) {
+    const auto submit = [&](const std::string& step, int texts, const RatingPriority& priority) {
       for (int text = 0; text < texts; ++text) {
         boost::asio::co_spawn(world.context,
                               world.scorer.score(
                                   {step + std::to_string(text), "host", "/score/x", "body"},
-                                  [&world] { return world.is_wanted; }, claim),
+                                  [&world] { return world.is_wanted; }, priority),
                               [&rated, step](std::exception_ptr, Score) { rated.push_back(step); });
       }
     };
@@ -231,14 +231,15 @@
     const auto last = [&rated](const std::string& step) {
       return rated.rend() - std::find(rated.rbegin(), rated.rend(), step);
     };
-    // Eight of the step with time were out before the others came.
+    // Eight texts of the step that has time were in flight before the others arrived.
     CPPUNIT_ASSERT(last("first") <= 8 + 10 + 8);
     CPPUNIT_ASSERT(last("near") <= 8 + 20 + 8);
     CPPUNIT_ASSERT(last("first") < last("near"));
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{50}, last("slack"));
   }
 
-  /// Rating calls took the places of clients that were left in the other zone.
+  /// Guards against ratings that count the places of an evacuated zone, and so take the places of
+  /// clients in the other zone.
   void places_in_an_evacuated_zone_do_not_count() {
     World world(4);
     world.directory.gate().evacuations().take_listing({{core::ZoneName("odd"), core::Revision(1)}},
@@ -266,9 +267,9 @@
     world.context.run();
     CPPUNIT_ASSERT(world.scores.front().end == ScoreEnd::kScored);
     CPPUNIT_ASSERT_EQUAL(std::string("signed-a"), world.scores.front().signature);
-    // Twice the attempts of the route, as one replica may fail all that it runs.
+    // Twice the attempts of the route, because one replica may fail everything that it runs.
     world.replicas.replicas["r0"].fail = 6;
-    world.replicas.replicas["r0"].refuse = 2;  // not run: does not count
+    world.replicas.replicas["r0"].refuse = 2;  // not run, so not counted
     world.score("b");
     world.context.restart();
     world.context.run();
@@ -329,7 +330,7 @@
   }
 
   void a_second_call_counts_no_failure_twice() {
-    // Given up after two answers of failure; the second call was out when the first failed.
+    // Given up after two failures; the second call was in flight when the first failed.
     World world(2, 1);
     world.learn_usual_time(milliseconds(20));
     world.set_answer_time(milliseconds(400));
@@ -344,7 +345,7 @@
     CPPUNIT_ASSERT_EQUAL(1.0, world.counted("stoneport_score_failures_total"));
   }
 
-  /// Given up after two answers of failure: the second call must go to another replica.
+  /// Given up after two failures, so the second call must go to another replica.
   void a_replica_that_fails_every_call_fails_no_text() {
     for (int round = 0; round < 5; ++round) {
       World world(3, 1);
@@ -379,7 +380,7 @@
     World world(30);
     world.learn_usual_time(milliseconds(20));
     world.set_answer_time(milliseconds(700));
-    const std::size_t calls = 40;  // with places for twenty second ones
+    const std::size_t calls = 40;  // with a budget for twenty second calls
     for (std::size_t call = 0; call < calls; ++call) {
       world.score("s" + std::to_string(call));
     }
@@ -400,7 +401,7 @@
     world.is_wanted = false;
     world.run_until_scored(1, milliseconds(300));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.scores.size());
-    CPPUNIT_ASSERT(world.scores.front().end == ScoreEnd::kCut);
+    CPPUNIT_ASSERT(world.scores.front().end == ScoreEnd::kCancelled);
     CPPUNIT_ASSERT_EQUAL(0, world.running_calls());
     CPPUNIT_ASSERT_EQUAL(1.0, world.counted("stoneport_score_calls_cut_total"));
     for (const std::string id : {"r0", "r1"}) {
--- a/tests/unit/jobs/slowdown_estimator_test.cpp
+++ b/tests/unit/jobs/slowdown_estimator_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How much a full replica slows its texts down is learned from what they show.
+/// Estimation of the slowdown of full replicas from their event gaps.
 #include "jobs/slowdown_estimator.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -23,21 +23,21 @@
 
   static constexpr std::uint32_t kSlots = 8;
 
-  /// A replica whose gaps follow a law, with noise.
+  /// A replica with a known slowdown, and random variation of its gaps.
   struct Replica {
     double empty_gap = 0.04;  ///< seconds
     ReplicaBaseline usual = {};
-    double slowed = 1;  ///< by a fault
+    double slowed = 1;  ///< factor, by a fault
   };
-  /// Plays \p seconds with \p running texts on \p replica.
-  static void play(SlowdownEstimator& law, Replica& replica, double truth, std::uint32_t running,
-                   double seconds, core::RandomSource& random) {
+  /// Simulates \p seconds with \p running texts on \p replica.
+  static void play(SlowdownEstimator& estimator, Replica& replica, double truth,
+                   std::uint32_t running, double seconds, core::RandomSource& random) {
     const double share = static_cast<double>(running) / kSlots;
     double played = 0;
     while (played < seconds) {
       const double noise = 0.7 + 0.6 * random.fraction();
       const double gap = replica.empty_gap * replica.slowed * (1 + truth * share) * noise;
-      law.note(replica.usual, gap, share, gap / running);
+      estimator.note(replica.usual, gap, share, gap / running);
       played += gap / running;
     }
   }
@@ -46,7 +46,7 @@
     struct Case {
       std::string name;
       double truth;
-      std::uint32_t fewest;  ///< texts at once
+      std::uint32_t fewest;  ///< concurrent texts
       std::uint32_t most;
       int rounds;  ///< of 2 s on each of four replicas
       double low;
@@ -63,21 +63,21 @@
         {"more than is believed", 2.5, 1, 8, 60, 0.9, 1},
     };
     for (const Case& one : cases) {
-      SlowdownEstimator law;
+      SlowdownEstimator estimator;
       core::RandomSource random(7);
-      // The fast ones run more texts, which must not look as if texts made them fast.
+      // The fast ones run more texts; the estimate must not attribute their speed to that.
       std::vector<Replica> replicas = {{0.03}, {0.04}, {0.05}, {0.08}};
       for (int round = 0; round < one.rounds; ++round) {
         for (std::size_t index = 0; index < replicas.size(); ++index) {
           const std::uint64_t drawn = random.uniform(one.fewest, one.most);
           const auto running = static_cast<std::uint32_t>(
               std::max<std::uint64_t>(one.fewest, drawn - std::min<std::uint64_t>(index, drawn)));
-          play(law, replicas[index], one.truth, running, 2, random);
+          play(estimator, replicas[index], one.truth, running, 2, random);
         }
       }
-      const std::string told = one.name + ": " + std::to_string(law.full_load_slowdown());
-      CPPUNIT_ASSERT_MESSAGE(told, law.full_load_slowdown() >= one.low - 1e-9);
-      CPPUNIT_ASSERT_MESSAGE(told, law.full_load_slowdown() <= one.high + 1e-9);
+      const std::string told = one.name + ": " + std::to_string(estimator.full_load_slowdown());
+      CPPUNIT_ASSERT_MESSAGE(told, estimator.full_load_slowdown() >= one.low - 1e-9);
+      CPPUNIT_ASSERT_MESSAGE(told, estimator.full_load_slowdown() <= one.high + 1e-9);
     }
   }
 
@@ -89,18 +89,18 @@
     };
     const Case cases[] = {{"its texts are moved away", 8, 1}, {"it fills up", 1, 8}};
     for (const Case& one : cases) {
-      SlowdownEstimator law;
+      SlowdownEstimator estimator;
       core::RandomSource random(7);
       Replica replica;
       for (int round = 0; round < 10; ++round) {
-        play(law, replica, 0.2, one.before, 15, random);
+        play(estimator, replica, 0.2, one.before, 15, random);
         replica.slowed = 3;
-        play(law, replica, 0.2, one.during, 15, random);
+        play(estimator, replica, 0.2, one.during, 15, random);
         replica.slowed = 1;
       }
-      const std::string told = one.name + ": " + std::to_string(law.full_load_slowdown());
-      CPPUNIT_ASSERT_MESSAGE(told, law.full_load_slowdown() >= 0.05);
-      CPPUNIT_ASSERT_MESSAGE(told, law.full_load_slowdown() <= 0.4);
+      const std::string told = one.name + ": " + std::to_string(estimator.full_load_slowdown());
+      CPPUNIT_ASSERT_MESSAGE(told, estimator.full_load_slowdown() >= 0.05);
+      CPPUNIT_ASSERT_MESSAGE(told, estimator.full_load_slowdown() <= 0.4);
     }
   }
 
@@ -109,7 +109,8 @@
     const core::ReplicaId id("a");
     const core::ServiceName service("model");
     core::MonotonicTime now{};
-    // 30 ms alone, 48 ms with all eight: a slowdown of 0.675 on the empty replica's 28.7 ms.
+    // 30 ms alone, 48 ms with all eight: a slowdown of 0.675 relative to the 28.7 ms of an empty
+    // replica.
     for (int round = 0; round < 60; ++round) {
       const std::uint32_t running = round % 2 == 0 ? 1 : 8;
       const core::Duration gap = milliseconds(running == 1 ? 31 : 48);
@@ -125,7 +126,7 @@
     CPPUNIT_ASSERT(alone > 0.029 && alone < 0.034);
     const double other = core::to_seconds(speeds.event_gap(core::ReplicaId("b"), {1, 8}, now));
     CPPUNIT_ASSERT_EQUAL(0.0, other);
-    // Another service's replicas keep to the prior.
+    // Replicas of another service use the prior.
     speeds.note_event(core::ReplicaId("c"), core::ServiceName("other"), {8, 8}, milliseconds(48),
                       now);
     const double empty = core::to_seconds(speeds.event_gap(core::ReplicaId("c"), {0, 8}, now));
--- a/tests/unit/jobs/step_capacity_test.cpp
+++ b/tests/unit/jobs/step_capacity_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Replicas that jobs share, put together in pools.
+/// Grouping of shared replicas into pools.
 #include "jobs/step_capacity.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/unit/jobs/step_scheduler_test.cpp
+++ b/tests/unit/jobs/step_scheduler_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Whose steps are met where there is too little room for all: shares of equal trainers, steps met
-/// against the order by latest start, bounds on waiting, and what a take-over loses.
+/// Selection of steps when capacity is short: shares of equal trainers, met steps compared with the
+/// order by latest start, bounds on waiting, and the cost of a takeover.
 #include "jobs/step_scheduler.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -35,24 +35,24 @@
 
 struct Load {
   std::string name;
-  double capacity = 1;  ///< work that the places do a second, against what is asked
+  double capacity = 1;  ///< throughput of all places relative to the demand
   std::size_t trainers = 4;
   core::Duration length = seconds(120);
-  core::Duration slow_from{}, slow_until{};  ///< half of the places 3.5 times slow
-  core::Duration lost_from{}, lost_until{};  ///< half of the places gone
-  core::Duration take_over_at{};             ///< what StepScheduler remembers is dropped
-  std::vector<double> size_factors = {};     ///< by trainer: texts so many times longer
+  core::Duration slow_from{}, slow_until{};  ///< half of the places are 3.5 times slower
+  core::Duration lost_from{}, lost_until{};  ///< half of the places are gone
+  core::Duration take_over_at{};             ///< the state of StepScheduler is dropped
+  std::vector<double> size_factors = {};     ///< by trainer: factor on the length of its texts
 };
 
 struct TrainerResult {
   std::uint32_t asked = 0;  ///< steps that have ended
   std::uint32_t met = 0;
-  std::uint32_t longest_wait = 0;  ///< steps of it in a row that were not met
+  std::uint32_t longest_wait = 0;  ///< consecutive steps that were not met
   std::uint32_t waits = 0;
-  double credit = 0;  ///< groups, one whole in time counts 1
+  double credit = 0;  ///< groups; one completed in time counts 1
 };
 
-/// Trainers, each with one step at a time, and places that make one text each.
+/// Simulates trainers with one step each at a time, and places that run one text each.
 class LoadPlayer {
  public:
   LoadPlayer(Load load, Order order, std::uint32_t seed)
@@ -65,7 +65,7 @@
     }
     std::lognormal_distribution<double> lengths(std::log(kMedianEvents), kSpread);
     for (int text = 0; text < 300; ++text) {
-      law_.note_whole(kGuess, static_cast<std::uint64_t>(lengths(random_)));
+      estimator_.record_complete(kGuess, static_cast<std::uint64_t>(lengths(random_)));
     }
     places_.resize(kPlaces);
   }
@@ -75,7 +75,7 @@
       begin_steps();
       set_places();
       if (load_.take_over_at != core::Duration(0) && now_ == load_.take_over_at) {
-        shares_ = StepScheduler();
+        scheduler_ = StepScheduler();
       }
       if (order_ == Order::kShares && now_ % kDecisionInterval == core::Duration(0)) {
         decide();
@@ -103,7 +103,7 @@
     core::Duration next_at{};
   };
   struct Place {
-    double rate = 0;  ///< events a second; zero where it is gone
+    double rate = 0;  ///< events per second; zero while it is gone
     std::optional<std::pair<std::size_t, std::size_t>> text;  ///< trainer and item
   };
 
@@ -196,13 +196,13 @@
       step.job = trainer.job->job.id;
       step.trainer = std::to_string(index);
       step.due = trainer.job->entry.accepted_at + kRunDeadline;
-      step.work = trainer.job->remaining_work(law_);
+      step.work = trainer.job->remaining_work(estimator_);
       step.last_end = core::from_seconds(step.work.longest / fastest());
       step.late_end = core::from_seconds(step.work.late_longest / fastest());
       step.pools = {0, 1};
       steps.push_back(std::move(step));
     }
-    const StepDecision decision = shares_.decide(steps, rates, now_);
+    const StepDecision decision = scheduler_.decide(steps, rates, now_);
     bool is_short = false;
     for (TrainerState& trainer : trainers_) {
       if (!trainer.job) {
@@ -226,7 +226,7 @@
         continue;
       }
       if (trainer.job->order_is_stale) {
-        trainer.job->make_start_order(law_);
+        trainer.job->make_start_order(estimator_);
         trainer.head.reset();
       }
       for (const std::size_t item : trainer.job->start_order) {
@@ -235,7 +235,7 @@
         }
         if (trainer.head != item) {
           trainer.head = item;
-          trainer.head_start = trainer.job->latest_start(item, law_, gap);
+          trainer.head_start = trainer.job->latest_start(item, estimator_, gap);
         }
         const std::tuple<std::uint32_t, core::Duration> key{trainer.place.position,
                                                             trainer.head_start};
@@ -342,15 +342,15 @@
   std::mt19937 random_;
   std::vector<TrainerResult> results_;
   ingress::Route route_;
-  LengthEstimator law_;
-  StepScheduler shares_;
+  LengthEstimator estimator_;
+  StepScheduler scheduler_;
   std::vector<TrainerState> trainers_;
   std::vector<Place> places_;
   core::Duration now_{};
   std::uint32_t short_decisions_ = 0;
 };
 
-/// What trainers met of the steps that were due in the time played.
+/// Steps met by the trainers, of those due in the simulated time.
 struct Summary {
   std::uint32_t met = 0;
   double least = 1;
@@ -373,15 +373,15 @@
   return all;
 }
 
-std::string told(const Load& load, std::uint32_t seed, const Summary& usual,
-                 const Summary& shares) {
+std::string description(const Load& load, std::uint32_t seed, const Summary& usual,
+                        const Summary& shares) {
   return load.name + ", seed " + std::to_string(seed) + ": met " + std::to_string(shares.met) +
          " against " + std::to_string(usual.met) + ", from " + std::to_string(shares.least) +
          " to " + std::to_string(shares.most) + ", longest wait " +
          std::to_string(shares.longest_wait);
 }
 
-constexpr double kRate = 100;  // events a second of the one pool
+constexpr double kRate = 100;  // events per second of the one pool
 
 OpenStep step_of(const std::string& trainer, int number, core::Duration due, double rest) {
   OpenStep step;
@@ -414,9 +414,9 @@
 
   static constexpr std::uint32_t kSeeds = 3;
 
-  // Four trainers of one rank ask for about twice what the places make. The bounds are what
-  // trainers are promised: a tenth between the first and the last; not more steps of one's own
-  // lost in a row than there are trainers.
+  // Four trainers of one rank demand about twice the capacity. The bounds are what trainers are
+  // promised: shares that differ by at most a tenth, and no more consecutive lost steps than there
+  // are trainers.
   void equal_trainers_get_equal_shares_at_half_capacity() {
     for (const double capacity : {0.45, 0.5, 0.55}) {
       Load load{"capacity " + std::to_string(capacity), capacity};
@@ -424,7 +424,7 @@
       for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
         const Summary usual = play(load, Order::kLatestStart, seed);
         const Summary shares = play(load, Order::kShares, seed);
-        const std::string about = told(load, seed, usual, shares);
+        const std::string about = description(load, seed, usual, shares);
         CPPUNIT_ASSERT_MESSAGE(about, shares.most - shares.least <= 0.1);
         CPPUNIT_ASSERT_MESSAGE(about, shares.longest_wait <= load.trainers);
         CPPUNIT_ASSERT_MESSAGE(about, shares.met > usual.met);
@@ -439,7 +439,7 @@
       for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
         const Summary usual = play(load, Order::kLatestStart, seed);
         const Summary shares = play(load, Order::kShares, seed);
-        const std::string about = told(load, seed, usual, shares);
+        const std::string about = description(load, seed, usual, shares);
         CPPUNIT_ASSERT_MESSAGE(about, is_short ? shares.met > usual.met : shares.met >= usual.met);
       }
     }
@@ -454,7 +454,7 @@
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
       const Summary usual = play(load, Order::kLatestStart, seed);
       const Summary shares = play(load, Order::kShares, seed);
-      const std::string about = told(load, seed, usual, shares);
+      const std::string about = description(load, seed, usual, shares);
       CPPUNIT_ASSERT_MESSAGE(about, shares.met >= usual.met);
       CPPUNIT_ASSERT_MESSAGE(about, shares.most - shares.least <= 0.1);
     }
@@ -466,15 +466,15 @@
       for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
         const Summary usual = play(load, Order::kLatestStart, seed);
         const Summary shares = play(load, Order::kShares, seed);
-        const std::string about = told(load, seed, usual, shares);
+        const std::string about = description(load, seed, usual, shares);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(about, 0u, shares.short_decisions);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(about, usual.met, shares.met);
       }
     }
   }
 
-  // Who takes over knows the jobs and their texts, and nothing of who lost before: each trainer
-  // may lose one step by that.
+  // The new holder knows the jobs and their texts, but not which trainers lost steps before, so
+  // each trainer may lose one step.
   void a_takeover_costs_few_steps() {
     Load load{"take-over", 0.5};
     load.length = seconds(240);
@@ -484,7 +484,7 @@
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
       const Summary whole = play(load, Order::kShares, seed);
       const Summary shares = play(cut, Order::kShares, seed);
-      const std::string about = told(cut, seed, whole, shares);
+      const std::string about = description(cut, seed, whole, shares);
       CPPUNIT_ASSERT_MESSAGE(about, shares.most - shares.least <= 0.1 + step);
       CPPUNIT_ASSERT_MESSAGE(about, shares.met + load.trainers >= whole.met);
     }
@@ -498,7 +498,7 @@
     for (int round = 0; round < 50; ++round) {
       std::vector<OpenStep> steps;
       for (const std::string& trainer : trainers) {
-        // One alone takes 3 s of the 6; two don't fit.
+        // One alone takes 3 s of the 6; two do not fit.
         steps.push_back(step_of(trainer, round, now + seconds(6), 300));
       }
       const StepDecision decision = shares.decide(steps, {kRate}, now);
@@ -527,7 +527,7 @@
     CPPUNIT_ASSERT(decision.places.at("a-0").plan == StepPlan::kMeet);
     CPPUNIT_ASSERT(decision.places.at("b-0").plan == StepPlan::kDeferred);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decision.deferred.size());
-    // One that is due before it comes, and a little less is made than was thought.
+    // Another step becomes due before it, and slightly less was generated than expected.
     const OpenStep third = step_of("c", 0, seconds(7), 350);
     decision = shares.decide({first, second, third}, {kRate * 0.9}, milliseconds(100));
     CPPUNIT_ASSERT(decision.places.at("a-0").plan == StepPlan::kMeet);
--- a/tests/unit/jobs/term_observer_test.cpp
+++ b/tests/unit/jobs/term_observer_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// When a process bids for the term: on silence of the heartbeat, not of the store
-/// or of the process itself.
+/// When a process bids for the term: on silence of the heartbeat, but not of the store or of the
+/// process itself.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "jobs/term_keeper.hpp"
@@ -24,8 +24,8 @@
     return core::MonotonicTime(std::chrono::milliseconds(milliseconds));
   }
 
-  /// \return the first time from \p start on, in steps of 100 ms, at which a
-  /// process bids whose store always answers; -1 when it never does.
+  /// \return the first time from \p start on, in steps of 100 ms, at which a process bids if the
+  /// store always answers; -1 if it never does.
   static int first_bid(TermObserver& watch, int start, int end) {
     for (int now = start; now <= end; now += 100) {
       if (watch.should_bid(at(now), at(now), 0)) {
@@ -44,7 +44,7 @@
       }
       CPPUNIT_ASSERT(!watch.should_bid(at(now), at(now), 0));
     }
-    // The last heartbeat came at 4,800.
+    // The last heartbeat arrived at 4,800.
     CPPUNIT_ASSERT_EQUAL(6000, first_bid(watch, 5100, 9000));
   }
 
@@ -60,7 +60,7 @@
     for (int now = 0; now <= 6000; now += 100) {
       CPPUNIT_ASSERT(!watch.should_bid(at(now), at(0), 0));
     }
-    // It answers again: the heartbeat gets its full time.
+    // The store answers again: the heartbeat gets its full time.
     const int bid = first_bid(watch, 6100, 9000);
     CPPUNIT_ASSERT(bid >= 7200);
   }
@@ -75,7 +75,7 @@
 
   void status_reports_shorten_the_wait() {
     struct Case {
-      HolderStatus sign;
+      HolderStatus status;
       int bid_at;
     };
     const Case cases[] = {
@@ -85,7 +85,7 @@
       watch.on_change(at(0), true);
       int bid_at = -1;
       for (int now = 100; now <= 3000 && bid_at < 0; now += 100) {
-        bid_at = watch.should_bid(at(now), at(now), 0, one.sign) ? now : -1;
+        bid_at = watch.should_bid(at(now), at(now), 0, one.status) ? now : -1;
       }
       CPPUNIT_ASSERT_EQUAL(one.bid_at, bid_at);
     }
@@ -93,8 +93,8 @@
 
   void an_end_reported_before_the_term_is_ignored() {
     TermObserver watch{TermSettings()};
-    const auto bids = [&](int now, HolderStatus sign) {
-      return watch.should_bid(at(now), at(now), 0, sign);
+    const auto bids = [&](int now, HolderStatus status) {
+      return watch.should_bid(at(now), at(now), 0, status);
     };
     watch.on_new_holder();
     for (int now = 0; now <= 3000; now += 100) {
@@ -104,7 +104,7 @@
       CPPUNIT_ASSERT(!bids(now, HolderStatus::kEnded));
     }
     CPPUNIT_ASSERT(!bids(3300, HolderStatus::kEnded));
-    // Silence counts as ever, and so does an end that comes to be known now.
+    // Silence counts as usual, and so does an end that is reported now.
     CPPUNIT_ASSERT(bids(3800, HolderStatus::kSuspect));
     watch.on_change(at(3900), true);
     CPPUNIT_ASSERT(!bids(3900, HolderStatus::kUnknown));
@@ -115,7 +115,7 @@
     TermObserver watch{TermSettings()};
     watch.on_change(at(10000), true, std::chrono::milliseconds(5000));
     CPPUNIT_ASSERT(watch.should_bid(at(10000), at(10000), 0));
-    // A heartbeat that comes later is as old as its arrival.
+    // The age of a later heartbeat is measured from its arrival.
     watch.on_change(at(10100), true, std::chrono::milliseconds(5000));
     CPPUNIT_ASSERT(!watch.should_bid(at(10100), at(10100), 0));
   }
@@ -131,26 +131,26 @@
     watch.on_change(at(0), false);
     CPPUNIT_ASSERT(!watch.should_bid(at(250), at(250), 0));
     CPPUNIT_ASSERT(watch.should_bid(at(300), at(300), 0));
-    // All become ready at once: the delay counts from there.
+    // All become ready at once: the delay starts there.
     watch.on_ineligible(at(400));
     CPPUNIT_ASSERT(!watch.should_bid(at(600), at(600), 0));
     CPPUNIT_ASSERT(watch.should_bid(at(700), at(700), 0));
   }
 
-  /// With 0.12 of a core a coordinator adopts jobs 0.2 to 0.3 s late. Worth of 13 paired days of
-  /// 71 and 80 machines, signs shortening the wait of all machines against those of large ones
-  /// alone: 0.826 and 0.833, the least 0.661 and 0.689.
+  /// With 0.12 of a core a coordinator adopts jobs 0.2 to 0.3 s late. Mean score of 13 paired days
+  /// of 71 and 80 machines: 0.826 (minimum 0.661) if status reports shorten the wait of all
+  /// machines, 0.833 (minimum 0.689) if only that of large ones.
   void a_small_machine_informed_first_lets_a_large_one_win() {
     constexpr double kSmallShare = 0.12;
-    constexpr int kLatestLargeBid = 1400;  // without any sign, with the whole spread
-    for (const HolderStatus sign : {HolderStatus::kSuspect, HolderStatus::kUnknown}) {
+    constexpr int kLatestLargeBid = 1400;  // without any report, with the maximum spread
+    for (const HolderStatus status : {HolderStatus::kSuspect, HolderStatus::kUnknown}) {
       TermSettings settings;
       settings.bid_delay = bid_delay_of(kSmallShare);
       TermObserver watch(settings);
       watch.on_change(at(0), true);
       int bid_at = -1;
       for (int now = 100; now <= 3000 && bid_at < 0; now += 100) {
-        bid_at = watch.should_bid(at(now), at(now), 0, sign) ? now : -1;
+        bid_at = watch.should_bid(at(now), at(now), 0, status) ? now : -1;
       }
       CPPUNIT_ASSERT(bid_at > kLatestLargeBid);
       CPPUNIT_ASSERT(bid_at < 2000);
--- a/tests/unit/records/feed_pace_test.cpp
+++ b/tests/unit/records/feed_pace_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The calls of all processes together, as the fleet grows.
+/// Calls of all processes together as the fleet grows.
 #include "records/feed_pace.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -44,7 +44,7 @@
     }
   }
 
-  /// Replicas that drain serve on for 3 s.
+  /// Draining replicas keep serving for 3 s.
   void pages_are_small_enough_for_timely_updates_of_the_own_window() {
     for (const std::size_t processes : {250u, 985u, 1970u, 4000u}) {
       const std::size_t page = most_page_bytes(processes);
@@ -59,7 +59,7 @@
                    std::chrono::milliseconds(449));
   }
 
-  /// Beyond this size the feeds take more than their share: the design ends there.
+  /// Beyond this size the feeds take more than their share: the limit of the design.
   void updates_are_never_delayed_for_long() {
     CPPUNIT_ASSERT(feed_interval(100'000, 16'000) == std::chrono::milliseconds(600));
   }
--- a/tests/unit/records/probed_store_test.cpp
+++ b/tests/unit/records/probed_store_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Calls to a store that serves this process nothing for a while.
+/// Calls to a store that temporarily does not serve this process.
 #include "records/probed_store.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/unit/records/table_follower_test.cpp
+++ b/tests/unit/records/table_follower_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A follower of a table over a store in memory: what it tells, and what that costs in calls and
-/// rows as the table grows.
+/// Follower of a table in an in-memory store: what it reports, and its cost in calls and rows as
+/// the table grows.
 #include "records/table_follower.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,7 +18,7 @@
 
 constexpr char kTable[] = "table";
 constexpr std::size_t kPageSize = 10;
-/// Between two pages under a flood of changes.
+/// Pause between two pages while changes arrive faster than they can be followed.
 constexpr milliseconds kPause{50};
 
 TableFollowerOptions quick_checks() {
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT(store.apply(transaction));
   }
   void take(const RowChanges& changes) {
-    rows_told += changes.written.size() + changes.removed.size();
+    rows_reported += changes.written.size() + changes.removed.size();
     for (const ports::Record& record : changes.written) {
       there.insert(record.key);
     }
@@ -70,7 +70,7 @@
 
   boost::asio::io_context context;
   support::FakeRecordStore store;
-  std::size_t rows_told = 0;
+  std::size_t rows_reported = 0;
   std::set<std::string> there;
   TableFollower follower;
 };
@@ -104,18 +104,19 @@
   static std::size_t rows_for_one_change(std::size_t rows) {
     World world(rows);
     world.start();
-    const std::size_t before = world.rows_told;
+    const std::size_t before = world.rows_reported;
     world.put(World::key_of(3), "2");
     world.run_for(milliseconds(30));
-    return world.rows_told - before;
+    return world.rows_reported - before;
   }
   void a_change_costs_the_same_in_a_table_of_any_size() {
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, rows_for_one_change(40));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, rows_for_one_change(160));
   }
 
-  /// In a fixed number of checks, counted in answers of the feed between them.
-  static double reads_for_each_check(std::size_t rows) {
+  /// \return the reads per check, over a fixed number of checks, counted in answers of the feed
+  /// between them.
+  static double reads_per_check(std::size_t rows) {
     World world(rows, quick_checks());
     world.start();
     const std::uint64_t reads = world.store.reads;
@@ -127,9 +128,9 @@
     return made / waits;
   }
   void a_quiet_table_costs_the_same_calls_whatever_its_size() {
-    // Two waits at the feed of 10 ms each pass between two checks that are 20 ms apart.
-    CPPUNIT_ASSERT(reads_for_each_check(40) <= 1);
-    CPPUNIT_ASSERT(reads_for_each_check(160) <= 1);
+    // Two waits of 10 ms each at the feed fit between two checks that are 20 ms apart.
+    CPPUNIT_ASSERT(reads_per_check(40) <= 1);
+    CPPUNIT_ASSERT(reads_per_check(160) <= 1);
   }
 
   void a_listing_resumes_where_the_store_refused_it() {
@@ -148,7 +149,7 @@
       world.context.run_one();
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{95}, world.there.size());
-    // Ten pages, of which five had come.
+    // Ten pages, of which five had arrived.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(world.store.reads - before),
                            world.store.reads - before <= 6);
   }
@@ -161,9 +162,9 @@
     world.put(World::key_of(94), "2");
     const std::uint64_t reads = world.store.reads;
     world.store.faults.down = false;
-    const std::size_t told = world.rows_told;
+    const std::size_t reported = world.rows_reported;
     world.run_for(milliseconds(18));
-    CPPUNIT_ASSERT_EQUAL(told + 1, world.rows_told);
+    CPPUNIT_ASSERT_EQUAL(reported + 1, world.rows_reported);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(world.store.reads - reads),
                            world.store.reads - reads <= 2);
   }
@@ -184,7 +185,7 @@
     CPPUNIT_ASSERT(!world.there.contains(World::key_of(1)));
   }
 
-  /// The feed counts as read up to a revision, and a page shows that it has left one out.
+  /// The feed counts as read up to a revision, but a page shows that it has missed a change.
   void a_change_missed_by_the_feed_is_found() {
     World world(45, quick_checks());
     world.start();
@@ -201,7 +202,7 @@
     world.run_for(milliseconds(20));
     world.store.faults.history_lost = false;
   }
-  /// \return the pages that a process reads at once, and the key that came with the first.
+  /// \return the pages that a process reads at once, after checking what they reported.
   static std::uint64_t pages_at_once(std::size_t rows) {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
@@ -213,12 +214,12 @@
     world.put(World::key_of(31), "2");
     world.put(World::key_of(2), "2");
     const std::uint64_t before = world.store.reads;
-    const std::size_t told = world.rows_told;
+    const std::size_t reported = world.rows_reported;
     lose_history(world);
     world.put(World::key_of(3), "2");
     world.run_for(milliseconds(60));
-    // The changed row of the first page, and the one that the feed told since.
-    CPPUNIT_ASSERT_EQUAL(told + 2, world.rows_told);
+    // The changed row of the first page, and the one that the feed has reported since.
+    CPPUNIT_ASSERT_EQUAL(reported + 2, world.rows_reported);
     return world.store.reads - before;
   }
   void a_lost_history_costs_one_page_at_once_whatever_the_size() {
@@ -226,7 +227,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, pages_at_once(160));
   }
 
-  /// All replicas of a fleet that starts come at once. \return the rows that are told at once.
+  /// All replicas of a starting fleet appear at once. \return the rows that are reported at once.
   static std::size_t rows_at_once(std::size_t rows) {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
@@ -245,15 +246,15 @@
     return at_once;
   }
   void a_feed_that_is_far_behind_costs_one_page_at_once_whatever_the_size() {
-    // What the feed had told, and the window.
+    // The rows reported by the feed, and the window.
     CPPUNIT_ASSERT_EQUAL(std::size_t{15}, rows_at_once(40));
     CPPUNIT_ASSERT_EQUAL(std::size_t{15}, rows_at_once(80));
   }
 
-  /// Replicas of a fleet that starts come for seconds, faster than all processes can be told.
-  /// \return the calls for each pause that passed. A busy machine stretches the rounds, so that the
-  /// pauses are counted by the clock.
-  static double calls_a_pause_under_flood(std::size_t rows_a_round) {
+  /// Replicas of a starting fleet appear for seconds, faster than all processes can be informed.
+  /// \return the calls per elapsed pause. A busy machine prolongs the rounds, so the pauses are
+  /// counted by the clock.
+  static double calls_per_pause_under_load(std::size_t rows_a_round) {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
     World world(0, options);
@@ -277,9 +278,9 @@
     return calls / (passed / kPause + 2);
   }
   void changes_faster_than_the_follower_cost_only_the_window() {
-    // A page and an answer of the feed in each pause, as before it began and as it ends.
+    // A page and an answer of the feed in each pause, as before it starts and as it ends.
     for (const std::size_t rows : {20u, 80u}) {
-      const double calls = calls_a_pause_under_flood(rows);
+      const double calls = calls_per_pause_under_load(rows);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(calls), calls <= 2);
     }
   }
@@ -309,7 +310,7 @@
     CPPUNIT_ASSERT(world.store.reads > before);
   }
 
-  /// A row of this table is a key of nine bytes and a value of one.
+  /// A row of this table has a key of nine bytes and a value of one.
   void pages_that_are_read_again_are_no_larger_than_asked_for() {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
--- a/tests/unit/records/table_mirror_test.cpp
+++ b/tests/unit/records/table_mirror_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A mirror of a table over a store in memory: what it copies, what it survives, and
-/// how many calls it makes.
+/// Mirror of a table in an in-memory store: its contents, the faults that it survives, and how many
+/// calls it makes.
 #include "records/table_mirror.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/unit/scaling/spot_plan_test.cpp
+++ b/tests/unit/scaling/spot_plan_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How many spot replicas are wanted, where, and for how long.
+/// Number of spot replicas wanted, in which zones, and for how long.
 #include "scaling/spot_plan.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
