--- a/src/jobs/checkpoint_batch.cpp
+++ b/src/jobs/checkpoint_batch.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::uint64_t CheckpointBatch::mark_safe() const {
+std::uint64_t CheckpointBatch::mark_durable() const {
   std::uint64_t events = 0;
   for (const CheckpointedText& entry : texts) {
     ItemText& text = entry.job->items[entry.item].text;
@@ -51,7 +51,7 @@
       const Checkpoint checkpoint = new_events(job->job.items[index].id, item.text);
       ports::RecordWrite write = encode_checkpoint(job->job.id, checkpoint);
       if (write.value->size() > record_bytes) {
-        continue;  // a text this large in one interval starts anew after a take-over
+        continue;  // too large for one interval: restarts from the beginning after a takeover
       }
       bytes += write.value->size();
       batch.writes.push_back(std::move(write));
--- a/src/jobs/placement.cpp
+++ b/src/jobs/placement.cpp
@@ -5,10 +5,10 @@
 namespace stoneport::jobs {
 namespace {
 
-/// What a text pays on a replica: first the time between its events, then the crowd.
+/// Cost of a text on a replica: first its event gap, then the occupancy.
 struct Cost {
   double gap = 0;    ///< seconds
-  double share = 0;  ///< of the slots that are taken
+  double share = 0;  ///< occupied share of the slots
 
   auto operator<=>(const Cost&) const = default;
 };
@@ -95,7 +95,7 @@
       core::from_seconds(rest * core::to_seconds(here - there)) - settings.cost;
   const bool is_faster =
       core::to_seconds(there) <= settings.largest_gap_share * core::to_seconds(here);
-  if (there <= core::Duration(0) || !is_faster || saved < settings.least_gain) {
+  if (there <= core::Duration(0) || !is_faster || saved < settings.min_gain) {
     return std::nullopt;
   }
   return saved;
--- a/src/node/holder_liveness.hpp
+++ b/src/node/holder_liveness.hpp
@@ -16,6 +16,6 @@
 
 /// \return what \p members says about \p holder. A node runs one process at a time, so a member
 /// record of a later run means that the holder's run has ended.
-jobs::HolderSign holder_liveness(const std::string& holder, const wire::MemberMap& members);
+jobs::HolderStatus holder_liveness(const std::string& holder, const wire::MemberMap& members);
 
 }  // namespace stoneport::node
--- a/tests/unit/jobs/coordinator_test.cpp
+++ b/tests/unit/jobs/coordinator_test.cpp
@@ -1,23 +1,23 @@
 /// \file
-/// Jobs from acceptance to the last result under one coordinator, over a store and
-/// replicas with faults.
+/// Jobs from acceptance to the last result under one coordinator, with a faulty store and faulty
+/// replicas.
 #include "unit/jobs/coordinator_world.hpp"
 
 namespace stoneport::jobs {
 
 class CoordinatorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CoordinatorTest);
-  CPPUNIT_TEST(jobs_become_whole_under_each_fault);
-  CPPUNIT_TEST(texts_go_on_where_they_were_cut);
+  CPPUNIT_TEST(jobs_complete_under_each_fault);
+  CPPUNIT_TEST(interrupted_texts_resume);
   CPPUNIT_TEST(a_silent_replica_loses_its_texts);
   CPPUNIT_TEST(items_that_cannot_be_done_are_terminated);
-  CPPUNIT_TEST(an_ended_job_is_left);
-  CPPUNIT_TEST(old_versions_make_no_text);
+  CPPUNIT_TEST(work_on_an_ended_job_stops);
+  CPPUNIT_TEST(texts_are_not_made_with_old_versions);
   CPPUNIT_TEST(records_of_old_jobs_are_removed);
   CPPUNIT_TEST(named_versions_reach_replicas_by_halves);
   CPPUNIT_TEST_SUITE_END();
 
-  void jobs_become_whole_under_each_fault() {
+  void jobs_complete_under_each_fault() {
     struct Case {
       std::string name;
       std::function<void(World&)> fault;
@@ -58,7 +58,7 @@
     }
   }
 
-  void texts_go_on_where_they_were_cut() {
+  void interrupted_texts_resume() {
     World world;
     world.replicas.text_length = 6;
     for (auto& [id, replica] : world.replicas.replicas) {
@@ -98,7 +98,7 @@
     }
   }
 
-  void an_ended_job_is_left() {
+  void work_on_an_ended_job_stops() {
     World world;
     world.replicas.text_length = 200;
     World::Process process(world, "a");
@@ -112,10 +112,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{8}, world.replicas.starts.size());
   }
 
-  void old_versions_make_no_text() {
+  void texts_are_not_made_with_old_versions() {
     World world;
     world.parser.oldest_version = core::WeightVersion(2);
-    // One has the version that the listing promises; two lag behind it.
+    // One replica has the version that the directory states; two are older.
     for (ingress::ReplicaRecord& record : world.records) {
       record.versions[core::ModelName("model")] = core::WeightVersion(2);
     }
@@ -142,7 +142,7 @@
     CPPUNIT_ASSERT(world.store.table(kResultTable).empty());
     CPPUNIT_ASSERT(world.store.table(kWholeTable).empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.store.table(kBodyTable).size());
-    // One that is open stays, however old.
+    // An open job is kept, however old it is.
     CPPUNIT_ASSERT(world.run_until([&] { return world.is_whole(process, "open", 2); }));
   }
 
--- a/tests/unit/jobs/coordinator_world.hpp
+++ b/tests/unit/jobs/coordinator_world.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The world of the coordinator's tests: processes over one store and one set of
-/// replicas, both in memory and with faults. Lives on one io_context.
+/// Fixture of the coordinator's tests: processes that share one store and one set of replicas, both
+/// in memory and with injected faults, on one io_context.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -46,35 +46,35 @@
     return job;
   }
   core::WeightVersion oldest_version{1};
-  std::string shared_prefix;  ///< of the items' ids, so that they come back in another job
+  std::string shared_prefix;  ///< of the items' ids, so that another job can resubmit them
   std::uint64_t guess_factor = 1;
 };
 
 inline constexpr std::size_t kReplicas = 3;
 
-/// Two processes over one store and one set of replicas.
+/// Processes that share one store and one set of replicas.
 struct World {
   struct Process {
     Process(World& world, const std::string& name,
             core::Duration retention = std::chrono::seconds(120),
-            core::Duration take_over_after = milliseconds(60))
+            core::Duration takeover_after = milliseconds(60))
         : store(world.store), directory(world.zone_regions), jobs(store, world.time, metrics) {
       CoordinatorSettings settings;
       settings.term.holder = name;
       settings.region = world.region;
-      settings.shortest_stay = milliseconds(20);
-      settings.patience_with_others = milliseconds(400);
+      settings.min_term_duration = milliseconds(20);
+      settings.foreign_term_silence = milliseconds(400);
       settings.retention = retention;
       settings.sweep_interval = milliseconds(50);
       settings.writer.heartbeat_interval = milliseconds(10);
       settings.writer.checkpoint_interval = milliseconds(20);
-      settings.term.take_over_after = take_over_after;
+      settings.term.takeover_after = takeover_after;
       settings.term.bid_spread = milliseconds(5);
       settings.term.tick = milliseconds(5);
       settings.term.feed_interval = milliseconds(5);
       settings.term.longest_gap = milliseconds(2000);
       settings.tick = milliseconds(5);
-      settings.dispatcher.shortest_silence = milliseconds(60);
+      settings.dispatcher.min_silence = milliseconds(60);
       settings.order_pause = world.order_pause;
       settings.dispatcher.suspicion = milliseconds(200);
       settings.dispatcher.fair_steps = world.fair_steps;
@@ -93,10 +93,10 @@
                                *forwarder,
                                [&world] { return world.named; },
                                [this] { return eligible; },
-                               [this](const std::string&) { return sign; },
+                               [this](const std::string&) { return status; },
                                world.time,
                                metrics,
-                               [this] { return belongs_elsewhere; }};
+                               [this] { return is_preferred_elsewhere; }};
       coordinator = std::make_unique<Coordinator>(std::move(inputs), settings, 7);
       coordinator->start();
     }
@@ -108,8 +108,8 @@
     std::unique_ptr<ingress::Forwarder> forwarder;
     std::unique_ptr<Coordinator> coordinator;
     bool eligible = true;
-    HolderSign sign = HolderSign::kUnknown;  ///< what the members say of any holder
-    bool belongs_elsewhere = false;
+    HolderStatus status = HolderStatus::kUnknown;  ///< what the members report about any holder
+    bool is_preferred_elsewhere = false;
   };
 
   World() {
@@ -147,8 +147,8 @@
     replicas.replicas[id] = {};
   }
 
-  /// Binds the jobs' route, and the one of rating calls if so wanted, to \p regions; in force for
-  /// processes that start from now on.
+  /// Binds the jobs' route, and optionally that of rating calls, to \p regions, for processes
+  /// started later.
   void bind_routes(const eligibility::Regions& regions, bool binds_scores) {
     std::vector<ingress::Route> routes = table->routes();
     routes[0].regions = regions;
@@ -213,10 +213,10 @@
   std::vector<ingress::ReplicaRecord> records;
   std::map<core::ModelName, core::WeightVersion> named;
   core::Duration order_pause = milliseconds(20);
-  bool fair_steps = false;                ///< of processes that start from now on
-  eligibility::ZoneRegions zone_regions;  ///< for processes that start from now on
-  core::RegionName region;                ///< of processes that start from now on
-  /// Destroyed first: streams that are still open touch what stands above.
+  bool fair_steps = false;                ///< of processes started later
+  eligibility::ZoneRegions zone_regions;  ///< of processes started later
+  core::RegionName region;                ///< of processes started later
+  /// Destroyed first, because streams that are still open access the members above.
   boost::asio::io_context context;
 };
 }  // namespace stoneport::jobs
--- a/tests/unit/jobs/evacuation_test.cpp
+++ b/tests/unit/jobs/evacuation_test.cpp
@@ -1,15 +1,15 @@
 /// \file
-/// Jobs while a zone is evacuated: nothing goes there on any path of the coordinator, and nothing
-/// is given up for it.
+/// Jobs while a zone is evacuated: the coordinator sends nothing there, and no item is given up
+/// because of it.
 #include "unit/jobs/coordinator_world.hpp"
 
 namespace stoneport::jobs {
 
 class EvacuationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EvacuationTest);
-  CPPUNIT_TEST(texts_under_way_end_and_none_begins);
-  CPPUNIT_TEST(a_broken_text_goes_on_elsewhere);
-  CPPUNIT_TEST(no_order_and_no_report_goes_there);
+  CPPUNIT_TEST(running_texts_finish_and_no_new_ones_start);
+  CPPUNIT_TEST(a_broken_text_resumes_in_another_zone);
+  CPPUNIT_TEST(evacuated_replicas_get_no_orders_or_reports);
   CPPUNIT_TEST(with_all_zones_evacuated_items_wait);
   CPPUNIT_TEST_SUITE_END();
 
@@ -43,7 +43,7 @@
     std::uint64_t revision = 0;
   };
 
-  void texts_under_way_end_and_none_begins() {
+  void running_texts_finish_and_no_new_ones_start() {
     Zones zones;
     World& world = zones.world;
     for (auto& [id, replica] : world.replicas.replicas) {
@@ -55,12 +55,12 @@
     zones.evacuate({"east"});
     CPPUNIT_ASSERT(world.run_until([&] { return world.is_whole(*zones.process, "job", 30); }));
     CPPUNIT_ASSERT_EQUAL(before, zones.starts_at("m0"));
-    // Each text was begun once: those in the zone ended there.
+    // Each text was started once: those in the zone ended there.
     CPPUNIT_ASSERT_EQUAL(std::size_t{30}, world.replicas.starts.size());
     world.check("evacuated", world.results(*zones.process, "job"));
   }
 
-  void a_broken_text_goes_on_elsewhere() {
+  void a_broken_text_resumes_in_another_zone() {
     Zones zones;
     World& world = zones.world;
     world.replicas.text_length = 40;
@@ -79,13 +79,13 @@
     world.check("moved", world.results(*zones.process, "job"));
   }
 
-  void no_order_and_no_report_goes_there() {
+  void evacuated_replicas_get_no_orders_or_reports() {
     Zones zones;
     World& world = zones.world;
     world.replicas.replicas["m0"].lose_orders = 1;
     world.named[core::ModelName("model")] = core::WeightVersion(2);
     world.submit(*zones.process, "job", 4);
-    // One order is on its way when the zone is evacuated: it is not followed up.
+    // One order is in flight when the zone is evacuated; no further one may follow.
     const auto ordered = [&](const std::string& replica) {
       return std::any_of(world.replicas.all_orders.begin(), world.replicas.all_orders.end(),
                          [&](const auto& order) { return order.replica == replica; });
--- a/tests/unit/jobs/faster_replicas_test.cpp
+++ b/tests/unit/jobs/faster_replicas_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Texts of jobs on replicas of unlike speed, and groups that come back.
+/// Texts on replicas of different speed, and resubmitted groups.
 #include "unit/jobs/coordinator_world.hpp"
 
 namespace stoneport::jobs {
@@ -7,15 +7,15 @@
 class FasterReplicasTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FasterReplicasTest);
   CPPUNIT_TEST(a_long_text_leaves_a_slow_replica);
-  CPPUNIT_TEST(a_text_that_is_moved_blames_no_replica);
-  CPPUNIT_TEST(a_text_whose_first_event_takes_long_is_made);
-  CPPUNIT_TEST(a_text_stays_while_ends_are_unknown);
-  CPPUNIT_TEST(an_item_that_comes_back_begins_by_its_known_length);
-  CPPUNIT_TEST(long_texts_of_a_younger_job_go_before_short_ones);
+  CPPUNIT_TEST(moving_a_text_does_not_penalize_its_replica);
+  CPPUNIT_TEST(a_text_whose_first_event_takes_long_is_completed);
+  CPPUNIT_TEST(no_text_is_moved_while_the_index_is_stale);
+  CPPUNIT_TEST(a_resubmitted_item_is_ordered_by_its_known_length);
+  CPPUNIT_TEST(long_texts_of_a_younger_job_start_before_short_ones);
   CPPUNIT_TEST_SUITE_END();
 
-  /// A world in which the law of lengths and the speeds are known, and all replicas but
-  /// the slow one have just become unusable.
+  /// Fixture in which lengths and speeds can be estimated, and all replicas but the slow one have
+  /// just become unusable.
   struct SlowStart {
     SlowStart() : process(world, "a") {
       world.replicas.replicas["m0"].event_gap = milliseconds(12);
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT(start.world.replicas.most_running_at_once <= 1);
   }
 
-  void a_text_that_is_moved_blames_no_replica() {
+  void moving_a_text_does_not_penalize_its_replica() {
     SlowStart start;
     const ingress::ReplicaPointer slow = start.process.directory.find(core::ReplicaId("m0"));
     start.world.submit(start.process, "job", 2);
@@ -67,8 +67,9 @@
     CPPUNIT_ASSERT(!slow->is_suspect(start.world.time.now()));
   }
 
-  /// Several times as long as a text is left at a silent replica, wherever it goes.
-  void a_text_whose_first_event_takes_long_is_made() {
+  /// The first event takes several times as long as a text may stay on a silent replica, wherever
+  /// it is moved.
+  void a_text_whose_first_event_takes_long_is_completed() {
     World world;
     World::Process process(world, "a");
     for (auto& [id, replica] : world.replicas.replicas) {
@@ -79,14 +80,14 @@
     CPPUNIT_ASSERT(world.replicas.starts.size() <= 6);
   }
 
-  /// Without a fresh view of ends no text may be begun, so none is taken from where it is.
-  void a_text_stays_while_ends_are_unknown() {
+  /// Without a fresh index no text may start, so none may be taken from its replica.
+  void no_text_is_moved_while_the_index_is_stale() {
     SlowStart start;
     start.world.submit(start.process, "job", 1);
     CPPUNIT_ASSERT(start.world.run_until([&] { return !start.world.replicas.starts.empty(); }));
     start.world.replicas.text_length = 600;
     start.process.store.cut = true;
-    // A poll that was under way is still answered, up to 0.8 s later.
+    // A poll in flight is still answered, up to 0.8 s later.
     start.world.run_for(milliseconds(3200));
     start.fast_ones_accept(true);
     start.world.run_for(milliseconds(400));
@@ -98,7 +99,7 @@
         start.world.run_until([&] { return start.world.is_whole(start.process, "job", 1); }));
   }
 
-  void an_item_that_comes_back_begins_by_its_known_length() {
+  void a_resubmitted_item_is_ordered_by_its_known_length() {
     World world;
     World::Process process(world, "a");
     world.replicas.text_length = 5;
@@ -112,7 +113,7 @@
     CPPUNIT_ASSERT(support::run_task(world.context, process.jobs.end({}, "first")).has_value());
     CPPUNIT_ASSERT(world.run_until([&] { return world.replicas.running["again.0"] == 0; }));
     world.replicas.starts.clear();
-    // Its guesses say that item 15 is the longest; items 0 to 2 are known to be longer.
+    // By the guesses item 15 is the longest; items 0 to 2 are known to be longer.
     world.submit(process, "second", 16);
     CPPUNIT_ASSERT(world.run_until([&] { return world.replicas.starts.size() >= 12; }));
     std::set<std::string> first;
@@ -122,7 +123,7 @@
     CPPUNIT_ASSERT((first == std::set<std::string>{"again.0", "again.1", "again.2"}));
   }
 
-  void long_texts_of_a_younger_job_go_before_short_ones() {
+  void long_texts_of_a_younger_job_start_before_short_ones() {
     World world;
     World::Process process(world, "a");
     world.replicas.text_length = 20;
--- a/tests/unit/records/table_follower_test.cpp
+++ b/tests/unit/records/table_follower_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A follower of a table over a store in memory: what it tells, and what that costs in calls and
-/// rows as the table grows.
+/// Follower of a table in an in-memory store: what it reports, and its cost in calls and rows as
+/// the table grows.
 #include "records/table_follower.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,7 +18,7 @@
 
 constexpr char kTable[] = "table";
 constexpr std::size_t kPageSize = 10;
-/// Between two pages under a flood of changes.
+/// Pause between two pages while changes arrive faster than they can be followed.
 constexpr milliseconds kPause{50};
 
 TableFollowerOptions quick_checks() {
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT(store.apply(transaction));
   }
   void take(const RowChanges& changes) {
-    rows_told += changes.written.size() + changes.removed.size();
+    rows_reported += changes.written.size() + changes.removed.size();
     for (const ports::Record& record : changes.written) {
       there.insert(record.key);
     }
@@ -70,7 +70,7 @@
 
   boost::asio::io_context context;
   support::FakeRecordStore store;
-  std::size_t rows_told = 0;
+  std::size_t rows_reported = 0;
   std::set<std::string> there;
   TableFollower follower;
 };
@@ -79,22 +79,22 @@
 
 class TableFollowerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TableFollowerTest);
-  CPPUNIT_TEST(tells_the_whole_table_page_by_page);
+  CPPUNIT_TEST(reports_the_whole_table_page_by_page);
   CPPUNIT_TEST(a_change_costs_the_same_in_a_table_of_any_size);
   CPPUNIT_TEST(a_quiet_table_costs_the_same_calls_whatever_its_size);
-  CPPUNIT_TEST(a_listing_goes_on_where_the_store_refused_it);
+  CPPUNIT_TEST(a_listing_resumes_where_the_store_refused_it);
   CPPUNIT_TEST(a_refused_feed_is_followed_on_without_a_listing);
-  CPPUNIT_TEST(a_row_that_went_and_came_within_one_answer_is_there);
-  CPPUNIT_TEST(a_change_that_the_feed_passed_over_is_found);
-  CPPUNIT_TEST(rows_that_went_while_the_history_was_lost_are_removed);
+  CPPUNIT_TEST(a_row_removed_and_rewritten_within_one_answer_is_kept);
+  CPPUNIT_TEST(a_change_missed_by_the_feed_is_found);
+  CPPUNIT_TEST(rows_removed_while_the_history_was_lost_are_dropped);
   CPPUNIT_TEST(a_lost_history_costs_one_page_at_once_whatever_the_size);
   CPPUNIT_TEST(a_feed_that_is_far_behind_costs_one_page_at_once_whatever_the_size);
-  CPPUNIT_TEST(changes_that_come_faster_than_they_are_followed_cost_the_window_alone);
-  CPPUNIT_TEST(a_table_is_read_again_around_to_where_that_began);
+  CPPUNIT_TEST(changes_faster_than_the_follower_cost_only_the_window);
+  CPPUNIT_TEST(a_reread_wraps_around_to_its_first_key);
   CPPUNIT_TEST(pages_that_are_read_again_are_no_larger_than_asked_for);
   CPPUNIT_TEST_SUITE_END();
 
-  void tells_the_whole_table_page_by_page() {
+  void reports_the_whole_table_page_by_page() {
     World world(35);
     world.start();
     CPPUNIT_ASSERT_EQUAL(std::size_t{35}, world.there.size());
@@ -104,18 +104,19 @@
   static std::size_t rows_for_one_change(std::size_t rows) {
     World world(rows);
     world.start();
-    const std::size_t before = world.rows_told;
+    const std::size_t before = world.rows_reported;
     world.put(World::key_of(3), "2");
     world.run_for(milliseconds(30));
-    return world.rows_told - before;
+    return world.rows_reported - before;
   }
   void a_change_costs_the_same_in_a_table_of_any_size() {
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, rows_for_one_change(40));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, rows_for_one_change(160));
   }
 
-  /// In a fixed number of checks, counted in answers of the feed between them.
-  static double reads_for_each_check(std::size_t rows) {
+  /// \return the reads per check, over a fixed number of checks, counted in answers of the feed
+  /// between them.
+  static double reads_per_check(std::size_t rows) {
     World world(rows, quick_checks());
     world.start();
     const std::uint64_t reads = world.store.reads;
@@ -127,12 +128,12 @@
     return made / waits;
   }
   void a_quiet_table_costs_the_same_calls_whatever_its_size() {
-    // Two waits at the feed of 10 ms each pass between two checks that are 20 ms apart.
-    CPPUNIT_ASSERT(reads_for_each_check(40) <= 1);
-    CPPUNIT_ASSERT(reads_for_each_check(160) <= 1);
+    // Two waits of 10 ms each at the feed fit between two checks that are 20 ms apart.
+    CPPUNIT_ASSERT(reads_per_check(40) <= 1);
+    CPPUNIT_ASSERT(reads_per_check(160) <= 1);
   }
 
-  void a_listing_goes_on_where_the_store_refused_it() {
+  void a_listing_resumes_where_the_store_refused_it() {
     World world(95, quick_checks());
     world.follower.start();
     while (world.store.reads < 6) {
@@ -148,7 +149,7 @@
       world.context.run_one();
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{95}, world.there.size());
-    // Ten pages, of which five had come.
+    // Ten pages, of which five had arrived.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(world.store.reads - before),
                            world.store.reads - before <= 6);
   }
@@ -161,14 +162,14 @@
     world.put(World::key_of(94), "2");
     const std::uint64_t reads = world.store.reads;
     world.store.faults.down = false;
-    const std::size_t told = world.rows_told;
+    const std::size_t reported = world.rows_reported;
     world.run_for(milliseconds(18));
-    CPPUNIT_ASSERT_EQUAL(told + 1, world.rows_told);
+    CPPUNIT_ASSERT_EQUAL(reported + 1, world.rows_reported);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(world.store.reads - reads),
                            world.store.reads - reads <= 2);
   }
 
-  void a_row_that_went_and_came_within_one_answer_is_there() {
+  void a_row_removed_and_rewritten_within_one_answer_is_kept() {
     TableFollowerOptions options;
     options.feed_interval = milliseconds(50);
     World world(5, options);
@@ -184,8 +185,8 @@
     CPPUNIT_ASSERT(!world.there.contains(World::key_of(1)));
   }
 
-  /// The feed counts as read up to a revision, and a page shows that it has left one out.
-  void a_change_that_the_feed_passed_over_is_found() {
+  /// The feed counts as read up to a revision, but a page shows that it has missed a change.
+  void a_change_missed_by_the_feed_is_found() {
     World world(45, quick_checks());
     world.start();
     world.store.hidden_from_feed = World::key_of(42);
@@ -201,7 +202,7 @@
     world.run_for(milliseconds(20));
     world.store.faults.history_lost = false;
   }
-  /// \return the pages that a process reads at once, and the key that came with the first.
+  /// \return the pages that a process reads at once, after checking what they reported.
   static std::uint64_t pages_at_once(std::size_t rows) {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
@@ -213,12 +214,12 @@
     world.put(World::key_of(31), "2");
     world.put(World::key_of(2), "2");
     const std::uint64_t before = world.store.reads;
-    const std::size_t told = world.rows_told;
+    const std::size_t reported = world.rows_reported;
     lose_history(world);
     world.put(World::key_of(3), "2");
     world.run_for(milliseconds(60));
-    // The changed row of the first page, and the one that the feed told since.
-    CPPUNIT_ASSERT_EQUAL(told + 2, world.rows_told);
+    // The changed row of the first page, and the one that the feed has reported since.
+    CPPUNIT_ASSERT_EQUAL(reported + 2, world.rows_reported);
     return world.store.reads - before;
   }
   void a_lost_history_costs_one_page_at_once_whatever_the_size() {
@@ -226,7 +227,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, pages_at_once(160));
   }
 
-  /// All replicas of a fleet that starts come at once. \return the rows that are told at once.
+  /// All replicas of a starting fleet appear at once. \return the rows that are reported at once.
   static std::size_t rows_at_once(std::size_t rows) {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
@@ -245,15 +246,15 @@
     return at_once;
   }
   void a_feed_that_is_far_behind_costs_one_page_at_once_whatever_the_size() {
-    // What the feed had told, and the window.
+    // The rows reported by the feed, and the window.
     CPPUNIT_ASSERT_EQUAL(std::size_t{15}, rows_at_once(40));
     CPPUNIT_ASSERT_EQUAL(std::size_t{15}, rows_at_once(80));
   }
 
-  /// Replicas of a fleet that starts come for seconds, faster than all processes can be told.
-  /// \return the calls for each pause that passed. A busy machine stretches the rounds, so that the
-  /// pauses are counted by the clock.
-  static double calls_a_pause_under_flood(std::size_t rows_a_round) {
+  /// Replicas of a starting fleet appear for seconds, faster than all processes can be informed.
+  /// \return the calls per elapsed pause. A busy machine prolongs the rounds, so the pauses are
+  /// counted by the clock.
+  static double calls_per_pause_under_load(std::size_t rows_a_round) {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
     World world(0, options);
@@ -276,15 +277,15 @@
     CPPUNIT_ASSERT_EQUAL(rows, world.there.size());
     return calls / (passed / kPause + 2);
   }
-  void changes_that_come_faster_than_they_are_followed_cost_the_window_alone() {
-    // A page and an answer of the feed in each pause, as before it began and as it ends.
+  void changes_faster_than_the_follower_cost_only_the_window() {
+    // A page and an answer of the feed in each pause, as before it starts and as it ends.
     for (const std::size_t rows : {20u, 80u}) {
-      const double calls = calls_a_pause_under_flood(rows);
+      const double calls = calls_per_pause_under_load(rows);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(calls), calls <= 2);
     }
   }
 
-  void a_table_is_read_again_around_to_where_that_began() {
+  void a_reread_wraps_around_to_its_first_key() {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
     options.retry_delay = milliseconds(5);
@@ -309,7 +310,7 @@
     CPPUNIT_ASSERT(world.store.reads > before);
   }
 
-  /// A row of this table is a key of nine bytes and a value of one.
+  /// A row of this table has a key of nine bytes and a value of one.
   void pages_that_are_read_again_are_no_larger_than_asked_for() {
     TableFollowerOptions options;
     options.feed_wait = milliseconds(10);
@@ -332,7 +333,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{39}, world.there.size());
   }
 
-  void rows_that_went_while_the_history_was_lost_are_removed() {
+  void rows_removed_while_the_history_was_lost_are_dropped() {
     World world(45);
     world.start();
     world.store.faults.history_lost = true;
