--- a/src/ingress/shared_health.cpp
+++ b/src/ingress/shared_health.cpp
@@ -90,9 +90,9 @@
 }
 
 RemoteFindingOutcome SharedHealth::apply_remote_finding(const HealthReporter& reporter,
-                                                        const HealthFinding& heard,
+                                                        const HealthFinding& remote_finding,
                                                         core::MonotonicTime now) {
-  HealthFinding finding = heard;
+  HealthFinding finding = remote_finding;
   finding.at = std::min(finding.at, now);
   if (now - finding.at >= settings_.validity) {
     return RemoteFindingOutcome::kStale;
