--- a/tests/unit/routing/adaptive_throttle_test.cpp
+++ b/tests/unit/routing/adaptive_throttle_test.cpp
@@ -55,7 +55,8 @@
 };
 
 /// Simulates arrivals at a service of kReplicas, each with kSlots and a queue that refuses when
-/// full. Each process has its own throttle; callers retry after the given time while they have time left.
+/// full. Each process has its own throttle; callers retry after the given time while they have time
+/// left.
 class LoadPlayer {
  public:
   explicit LoadPlayer(std::size_t processes, std::uint64_t seed) : random_(seed) {
