--- a/tests/platform/crashing_request_test.cpp
+++ b/tests/platform/crashing_request_test.cpp
@@ -129,7 +129,7 @@
       CPPUNIT_ASSERT_EQUAL(std::size_t{3}, platform.crashes().size());
     }
 
-    std::string told_failures() const {
+    std::string failure_summary() const {
       std::string text = std::to_string(failures.size()) + " bystanders failed";
       for (const std::string& failure : failures) {
         text += "\n" + failure;
@@ -156,7 +156,7 @@
         world.platform.crashes().size() <= 3);
     CPPUNIT_ASSERT_MESSAGE("all replicas were down at once",
                            world.max_crashed_at_once() < kReplicas);
-    CPPUNIT_ASSERT_MESSAGE(world.told_failures(), world.failures.empty());
+    CPPUNIT_ASSERT_MESSAGE(world.failure_summary(), world.failures.empty());
     const Clock::time_point sent_at = Clock::now();
     const HttpAnswer refused = world.step(0);
     CPPUNIT_ASSERT(Clock::now() - sent_at < milliseconds(400));
@@ -177,7 +177,7 @@
       world.round(round);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, world.platform.crashes().size());
-    CPPUNIT_ASSERT_MESSAGE(world.told_failures(), world.failures.empty());
+    CPPUNIT_ASSERT_MESSAGE(world.failure_summary(), world.failures.empty());
   }
 
   void started_processes_know_the_held_requests() {
--- a/tests/unit/ingress/forwarder_second_call_test.cpp
+++ b/tests/unit/ingress/forwarder_second_call_test.cpp
@@ -38,13 +38,13 @@
     co_return answer;
   }
   boost::asio::awaitable<bool> refuses_connections(ports::ReplicaTarget target) override {
-    co_await runtime::sleep_for(look_time);
+    co_await runtime::sleep_for(check_time);
     co_return co_await FakeReplicaClient::refuses_connections(std::move(target));
   }
 
   std::function<void(std::size_t number)> on_call;  ///< numbered from one
-  std::string broken_by = {};  ///< id of a replica that runs calls and breaks their connections
-  core::Duration look_time{};  ///< duration of the check whether a replica has crashed
+  std::string broken_by = {};   ///< id of a replica that runs calls and breaks their connections
+  core::Duration check_time{};  ///< duration of the check whether a replica has crashed
   std::vector<core::Duration> times_left;  ///< by call
 };
 
@@ -74,7 +74,7 @@
   CPPUNIT_TEST_SUITE(ForwarderSecondCallTest);
   CPPUNIT_TEST(a_silent_replica_costs_less_than_the_target);
   CPPUNIT_TEST(a_replica_that_is_overtaken_twice_is_suspect);
-  CPPUNIT_TEST(the_first_answer_counts_and_the_other_call_is_cut);
+  CPPUNIT_TEST(the_first_answer_counts_and_the_other_call_is_cancelled);
   CPPUNIT_TEST(a_slow_replica_that_works_is_not_suspect);
   CPPUNIT_TEST(a_third_call_bypasses_two_silent_replicas);
   CPPUNIT_TEST(the_attempt_limit_of_the_route_applies);
@@ -229,7 +229,7 @@
     CPPUNIT_ASSERT_EQUAL(0, int{world.replica("r0")->overtaken_calls});
   }
 
-  void the_first_answer_counts_and_the_other_call_is_cut() {
+  void the_first_answer_counts_and_the_other_call_is_cancelled() {
     World world(2);
     add_three(world);
     world.replicas.replicas["r0"].answer_time = milliseconds(280);
@@ -336,7 +336,7 @@
     world.replicas.replicas["r0"].ended = true;
     world.replicas.replicas["r2"].answer_time = milliseconds(100);
     world.replicas.broken_by = "r0";
-    world.replicas.look_time = milliseconds(600);
+    world.replicas.check_time = milliseconds(600);
     world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0", "r2"}));
@@ -354,7 +354,7 @@
     world.replicas.replicas["r0"].answer_time = milliseconds(10);
     world.replicas.replicas["r0"].ended = true;
     world.replicas.broken_by = "r0";
-    world.replicas.look_time = milliseconds(400);
+    world.replicas.check_time = milliseconds(400);
     world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.held >= milliseconds(400));
--- a/tests/unit/routing/adaptive_throttle_test.cpp
+++ b/tests/unit/routing/adaptive_throttle_test.cpp
@@ -57,15 +57,15 @@
 /// Simulates arrivals at a service of kReplicas, each with kSlots and a queue that refuses when
 /// full. Each process has its own throttle; callers retry after the given time while they have time
 /// left.
-class LoadPlayer {
+class LoadSimulator {
  public:
-  explicit LoadPlayer(std::size_t processes, std::uint64_t seed) : random_(seed) {
+  explicit LoadSimulator(std::size_t processes, std::uint64_t seed) : random_(seed) {
     for (std::size_t index = 0; index < processes; ++index) {
       processes_.emplace_back(seed * 1000 + index);
     }
   }
   double slowness = 1;  ///< factor on all service times
-  /// share of requests that each replica refuses regardless of load
+  /// Share of requests that each replica refuses regardless of load.
   std::array<double, kReplicas> refuses = {};
 
   void play(const std::vector<Arrivals>& arrivals, double end) {
@@ -110,7 +110,7 @@
     double sent = 0;
     double answered = 0;
     double refused_after = 0;  ///< longest time from arrival, or a retry, to a refusal
-    double came = 0;           ///< time of the last arrival or retry
+    double last_arrival = 0;   ///< time of the last arrival or retry
     int sends = 0;
     std::uint32_t refusals = 0;  ///< refusals by replicas since the last arrival or retry
     bool refused = false;
@@ -151,20 +151,20 @@
   }
   void decide(std::size_t index) {
     Request& request = requests_[index];
-    request.came = now_;
+    request.last_arrival = now_;
     request.refusals = 0;
     const ThrottleDecision decision =
         processes_[request.process].throttle.decide(asked_by(request), at(now_));
     if (decision.verdict != ThrottleVerdict::kAdmit) {
-      return tell(index, decision.retry_after);
+      return handle_refusal(index, decision.retry_after);
     }
     request.sent = now_;
     send(index, kReplicas);
   }
-  void tell(std::size_t index, core::Duration retry_after) {
+  void handle_refusal(std::size_t index, core::Duration retry_after) {
     Request& request = requests_[index];
     request.refused = true;
-    request.refused_after = std::max(request.refused_after, now_ - request.came);
+    request.refused_after = std::max(request.refused_after, now_ - request.last_arrival);
     const double retry = now_ + core::to_seconds(retry_after);
     if (retry < request.arrived + core::to_seconds(kCallerWaits)) {
       plan(retry, [this, index] { decide(index); });
@@ -233,13 +233,13 @@
     --process.in_flight[place];
     process.refused_until[place] = now_ + core::to_seconds(kRefusalMemory);
     const ReplicaRefusal refusal = {core::ReplicaId(std::to_string(place)), false,
-                                    ++request.refusals, at(request.came)};
-    const bool may_go_on = process.throttle.note_refusal(asked_by(request), refusal, at(now_));
-    if (may_go_on && request.refusals <= kMaxRefusals) {
+                                    ++request.refusals, at(request.last_arrival)};
+    const bool may_resend = process.throttle.note_refusal(asked_by(request), refusal, at(now_));
+    if (may_resend && request.refusals <= kMaxRefusals) {
       return send(index, place);
     }
     process.throttle.note_end(asked_by(request), std::nullopt, kTarget, at(now_));
-    tell(index, process.throttle.refuse(asked_by(request), at(now_)));
+    handle_refusal(index, process.throttle.refuse(asked_by(request), at(now_)));
   }
 
   core::RandomSource random_;
@@ -289,10 +289,10 @@
     std::uint64_t seed = 20;
     for (const std::size_t processes : {12, 82, 400}) {
       for (const double times : {1.0, 1.5, 3.0, 10.0, 1.0, 1.5, 3.0, 10.0}) {
-        LoadPlayer player(processes, ++seed);
+        LoadSimulator simulator(processes, ++seed);
         const std::vector<Arrivals> arrivals = load_spike_of(times);
-        player.play(arrivals, 20);
-        const Served served = player.served(1, 3, 3 + kSpikeSeconds);
+        simulator.play(arrivals, 20);
+        const Served served = simulator.served(1, 3, 3 + kSpikeSeconds);
         const std::string what = describe(times, processes, served);
         CPPUNIT_ASSERT_MESSAGE(what, served.in_time >= 0.9 * kCapacity * kSpikeSeconds);
         CPPUNIT_ASSERT_MESSAGE(what, served.sends <= 1.1 * served.asked);
@@ -303,87 +303,87 @@
 
   void below_capacity_callers_are_served_in_time() {
     for (const std::size_t processes : {12, 82, 400}) {
-      LoadPlayer player(processes, 8);
+      LoadSimulator simulator(processes, 8);
       const std::vector<Arrivals> arrivals = load_spike_of(0.9);
-      player.play(arrivals, 20);
-      const Served served = player.served(1, 3, 3 + kSpikeSeconds);
+      simulator.play(arrivals, 20);
+      const Served served = simulator.served(1, 3, 3 + kSpikeSeconds);
       CPPUNIT_ASSERT_MESSAGE(describe(0.9, processes, served), served.share_in_time() >= 0.95);
     }
   }
 
   void after_a_load_spike_nothing_is_refused() {
-    LoadPlayer player(82, 9);
+    LoadSimulator simulator(82, 9);
     const std::vector<Arrivals> arrivals = {{3 * kCapacity, 0, 5}, {0.5 * kCapacity, 5, 15}};
-    player.play(arrivals, 20);
-    const Served later = player.served(1, 7, 15);
+    simulator.play(arrivals, 20);
+    const Served later = simulator.served(1, 7, 15);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(0.5, 82, later), 0, later.refused);
-    const Served soon = player.served(1, 6, 7);
+    const Served soon = simulator.served(1, 6, 7);
     CPPUNIT_ASSERT_MESSAGE(describe(0.5, 82, soon), soon.share_in_time() >= 0.95);
   }
 
   void a_slow_service_that_refuses_nothing_is_not_throttled() {
-    LoadPlayer player(82, 10);
-    player.slowness = 6;
+    LoadSimulator simulator(82, 10);
+    simulator.slowness = 6;
     const std::vector<Arrivals> arrivals = {{0.1 * kCapacity, 0, 10}};
-    player.play(arrivals, 15);
-    const Served served = player.served(0, 0, 10);
+    simulator.play(arrivals, 15);
+    const Served served = simulator.served(0, 0, 10);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(0.1, 82, served), 0, served.refused);
   }
 
   void a_slow_service_with_one_replica_that_refuses_is_not_throttled() {
-    LoadPlayer player(82, 10);
-    player.slowness = 6;
-    player.refuses[2] = 0.45;
+    LoadSimulator simulator(82, 10);
+    simulator.slowness = 6;
+    simulator.refuses[2] = 0.45;
     const std::vector<Arrivals> arrivals = {{0.1 * kCapacity, 0, 10}};
-    player.play(arrivals, 15);
-    const Served served = player.served(0, 0, 10);
+    simulator.play(arrivals, 15);
+    const Served served = simulator.served(0, 0, 10);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(0.1, 82, served), 0, served.refused);
   }
 
   void a_replica_that_refuses_beside_idle_ones_leads_to_no_refusal() {
     for (const std::size_t processes : {12, 82, 400}) {
-      LoadPlayer player(processes, 11);
-      player.refuses[2] = 0.45;
+      LoadSimulator simulator(processes, 11);
+      simulator.refuses[2] = 0.45;
       const std::vector<Arrivals> arrivals = {{0.4 * kCapacity, 0, 10}};
-      player.play(arrivals, 15);
-      const Served served = player.served(0, 0, 10);
+      simulator.play(arrivals, 15);
+      const Served served = simulator.served(0, 0, 10);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(0.4, processes, served), 0, served.refused);
     }
   }
 
   void a_greedy_tenant_takes_nothing_from_modest_ones() {
-    LoadPlayer player(12, 12);
+    LoadSimulator simulator(12, 12);
     std::vector<Arrivals> arrivals = {{3 * kCapacity, 0, 10, "greedy"}};
     for (int tenant = 0; tenant < 3; ++tenant) {
       arrivals.push_back({0.15 * kCapacity, 0, 10, "modest-" + std::to_string(tenant)});
     }
-    player.play(arrivals, 15);
+    simulator.play(arrivals, 15);
     for (std::size_t modest = 1; modest < arrivals.size(); ++modest) {
-      const Served served = player.served(modest, 2, 10);
+      const Served served = simulator.served(modest, 2, 10);
       CPPUNIT_ASSERT_MESSAGE(describe(0.15, 12, served), served.share_in_time() >= 0.9);
     }
     // The rest goes to the greedy tenant.
-    const Served greedy = player.served(0, 2, 10);
+    const Served greedy = simulator.served(0, 2, 10);
     CPPUNIT_ASSERT_MESSAGE(describe(3, 12, greedy), greedy.in_time >= 0.9 * 0.55 * kCapacity * 8);
   }
 
   void a_higher_rank_is_not_refused_before_a_lower_one() {
-    LoadPlayer player(12, 13);
+    LoadSimulator simulator(12, 13);
     const std::vector<Arrivals> arrivals = {{0.6 * kCapacity, 0, 10, "urgent", 0},
                                             {2 * kCapacity, 0, 10, "idle", 1}};
-    player.play(arrivals, 15);
-    const Served high = player.served(0, 2, 10);
-    const Served low = player.served(1, 2, 10);
+    simulator.play(arrivals, 15);
+    const Served high = simulator.served(0, 2, 10);
+    const Served low = simulator.served(1, 2, 10);
     CPPUNIT_ASSERT_MESSAGE(describe(0.6, 12, high), high.share_in_time() >= 0.95);
     CPPUNIT_ASSERT_MESSAGE(describe(2, 12, low), low.in_time >= 0.9 * 0.3 * kCapacity * 8);
   }
 
   void a_lower_rank_does_not_starve() {
-    LoadPlayer player(12, 14);
+    LoadSimulator simulator(12, 14);
     const std::vector<Arrivals> arrivals = {{3 * kCapacity, 0, 10, "urgent", 0},
                                             {kCapacity, 0, 10, "idle", 1}};
-    player.play(arrivals, 15);
-    const Served low = player.served(1, 2, 10);
+    simulator.play(arrivals, 15);
+    const Served low = simulator.served(1, 2, 10);
     CPPUNIT_ASSERT_MESSAGE(describe(1, 12, low), low.in_time >= 0.02 * kCapacity * 8);
   }
 
