--- a/tests/platform/crashing_request_test.cpp
+++ b/tests/platform/crashing_request_test.cpp
@@ -57,8 +57,8 @@
       return call;
     }
 
-    /// Sends popular and unique requests to all processes, and the crashing one to the process \p
-    /// culprit_at, if given.
+    /// Sends popular and unique requests to all processes, and the crashing one to the process
+    /// \p culprit_at, if given.
     /// \return the answer to the crashing request.
     HttpAnswer step(std::optional<std::size_t> culprit_at) {
       std::vector<HttpCall> calls;
--- a/tests/platform/evacuation_test.cpp
+++ b/tests/platform/evacuation_test.cpp
@@ -42,8 +42,8 @@
       const std::size_t found = page.find(name);
       return found == std::string::npos ? -1 : std::stoi(page.substr(found + name.size()));
     }
-    /// \return the time until all of \p processes count \p zones as evacuated; fails after \p
-    /// limit.
+    /// \return the time until all of \p processes count \p zones as evacuated; fails after
+    /// \p limit.
     core::Duration time_until(std::vector<std::size_t> processes, int zones, core::Duration limit) {
       const Clock::time_point began = Clock::now();
       for (const std::size_t process : processes) {
--- a/tests/unit/routing/adaptive_throttle_test.cpp
+++ b/tests/unit/routing/adaptive_throttle_test.cpp
@@ -79,8 +79,8 @@
       event.act();
     }
   }
-  /// \return the results of the requests of \p kind that arrived from \p from on and before \p
-  /// until.
+  /// \return the results of the requests of \p kind that arrived at or after \p from and before
+  /// \p until.
   Served served(std::size_t kind, double from, double until) const {
     Served sum;
     for (const Request& request : requests_) {
