--- a/tests/unit/controllers/gossip_state_test.cpp
+++ b/tests/unit/controllers/gossip_state_test.cpp
@@ -104,9 +104,9 @@
   void zone_notices_reach_all_members_within_two_seconds() {
     Cluster cluster(50, 0.05);
     for (const std::uint64_t revision : {7, 8}) {
-      const wire::ZoneNotice told = notice(revision, revision == 7);
-      cluster.simulation.state(3).announce_zone(told);
-      cluster.until([&] { return all_hold(cluster, 50, told); }, 2s);
+      const wire::ZoneNotice expected = notice(revision, revision == 7);
+      cluster.simulation.state(3).announce_zone(expected);
+      cluster.until([&] { return all_hold(cluster, 50, expected); }, 2s);
     }
   }
 
--- a/tests/unit/controllers/lease_test.cpp
+++ b/tests/unit/controllers/lease_test.cpp
@@ -78,8 +78,9 @@
         {"no row", std::nullopt, LeaseStep::kWrite, 1, 0},
         {"released", observed(std::nullopt, 4, 9), LeaseStep::kWrite, 5, 9},
         {"another's", observed(kOther, 4, 9), LeaseStep::kWait, 0, 0},
-        {"our node's former process's", observed(kFormerLife, 4, 9), LeaseStep::kWait, 0, 0},
-        {"ours, its answer lost", observed(kSelf, 4, 9), LeaseStep::kWrite, 4, 9},
+        {"held by a former process of this node", observed(kFormerLife, 4, 9), LeaseStep::kWait, 0,
+         0},
+        {"ours, but the response was lost", observed(kSelf, 4, 9), LeaseStep::kWrite, 4, 9},
     };
     for (const Case& test : cases) {
       LeaseState lease(kSelf, kSettings);
--- a/tests/unit/controllers/routing_freshness_test.cpp
+++ b/tests/unit/controllers/routing_freshness_test.cpp
@@ -36,14 +36,14 @@
  public:
   void calls() {
     const std::vector<Case> cases = {
-        {"nothing special", {{100, true, true, 4100}, {200, true, true, 4200}}},
+        {"regular updates", {{100, true, true, 4100}, {200, true, true, 4200}}},
         {"busy for less than a pause", {{100, true, true, 4100}, {1500, true, true, 5500}}},
-        {"frozen, then heard",
+        {"frozen, then gossip catches up",
          {{100, true, true, 4100},
           {10100, false, false, 4100},
           {10200, false, false, 4100},
           {10300, true, true, 14300}}},
-        {"frozen, nobody answers",
+        {"frozen, no member answers",
          {{100, true, true, 4100},
           {10100, false, false, 4100},
           {11000, false, false, 4100},
@@ -55,15 +55,15 @@
           {20100, false, false, 4100},
           {21000, false, false, 4100},
           {21100, false, true, 25100}}},
-        {"frozen again after nobody answered",
+        {"frozen again after no member answered",
          {{100, true, true, 4100},
           {10100, false, false, 4100},
           {11100, false, true, 15100},
           {30100, false, false, 15100},
           {31100, false, true, 35100}}},
-        {"busy for two seconds, heard late: the table outlasts it",
+        {"busy for two seconds, late catch-up: the table remains valid",
          {{100, true, true, 4100}, {2100, false, false, 4100}, {3000, true, true, 7000}}},
-        {"busy for two seconds, nobody answers: the table outlasts it",
+        {"busy for two seconds, no member answers: the table remains valid",
          {{100, true, true, 4100}, {2100, false, false, 4100}, {3100, false, true, 7100}}},
     };
     for (const Case& sequence : cases) {
--- a/tests/unit/controllers/routing_table_builder_test.cpp
+++ b/tests/unit/controllers/routing_table_builder_test.cpp
@@ -43,7 +43,8 @@
     report.cached_prefixes = std::vector<std::uint64_t>{9, 3};
     return report;
   }
-  void hear(wire::ReplicaReport report, core::Duration ago, const std::string& watcher = "w1") {
+  void add_report(wire::ReplicaReport report, core::Duration ago,
+                  const std::string& watcher = "w1") {
     reports.add(core::NodeId(watcher), std::move(report), kNow - ago);
   }
   RoutingInputs inputs() const { return {machines, reports, marks, refusals, kNow}; }
@@ -79,61 +80,62 @@
       return report;
     };
     const std::vector<StateCase> cases = {
-        {"listed alone", [](Scene&) {}, ReplicaState::kUsable, 0},
-        {"reported", [](Scene& scene) { scene.hear(scene.report(), 1s); }, ReplicaState::kUsable,
-         0},
-        {"silent for long", [](Scene& scene) { scene.hear(scene.report(), 30s); },
+        {"listed without a report", [](Scene&) {}, ReplicaState::kUsable, 0},
+        {"reported", [](Scene& scene) { scene.add_report(scene.report(), 1s); },
+         ReplicaState::kUsable, 0},
+        {"last report too old", [](Scene& scene) { scene.add_report(scene.report(), 30s); },
          ReplicaState::kSuspect, 0},
-        {"unreachable", [&](Scene& scene) { scene.hear(gone(scene), 1s); }, ReplicaState::kDown, 0},
-        {"unreachable for one watcher alone",
+        {"unreachable", [&](Scene& scene) { scene.add_report(gone(scene), 1s); },
+         ReplicaState::kDown, 0},
+        {"unreachable for only one watcher",
          [&](Scene& scene) {
-           scene.hear(gone(scene), 1s, "w1");
-           scene.hear(scene.report(), 2s, "w2");
+           scene.add_report(gone(scene), 1s, "w1");
+           scene.add_report(scene.report(), 2s, "w2");
          },
          ReplicaState::kUsable, 0},
         {"listed as leaving",
          [](Scene& scene) { scene.machines[0].state = MachineState::kLeaving; },
          ReplicaState::kLeaving, 1},
-        {"says that it leaves", [&](Scene& scene) { scene.hear(leaving(scene, 4), 1s); },
-         ReplicaState::kLeaving, 1},
+        {"reports that it is leaving",
+         [&](Scene& scene) { scene.add_report(leaving(scene, 4), 1s); }, ReplicaState::kLeaving, 1},
         {"marked", [](Scene& scene) { scene.marks[kReplica] = core::Incarnation(4); },
          ReplicaState::kLeaving, 0},
-        {"marked, listed and saying so",
+        {"marked, listed as leaving and reporting it",
          [&](Scene& scene) {
            scene.marks[kReplica] = core::Incarnation(4);
            scene.machines[0].state = MachineState::kLeaving;
-           scene.hear(leaving(scene, 4), 1s);
+           scene.add_report(leaving(scene, 4), 1s);
          },
          ReplicaState::kLeaving, 0},
-        {"marked, and a lagging list shows it live again",
+        {"marked, and an outdated list shows it as live",
          [](Scene& scene) {
            scene.marks[kReplica] = core::Incarnation(4);
-           scene.hear(scene.report(4), 1s);
+           scene.add_report(scene.report(4), 1s);
          },
          ReplicaState::kLeaving, 0},
-        {"marked, and back in a new incarnation",
+        {"marked, and restarted with a new incarnation",
          [](Scene& scene) {
            scene.marks[kReplica] = core::Incarnation(4);
-           scene.hear(scene.report(5), 1s);
+           scene.add_report(scene.report(5), 1s);
          },
          ReplicaState::kUsable, 0},
-        {"listed as leaving in an incarnation that is over",
+        {"listed as leaving in a previous incarnation",
          [](Scene& scene) {
            scene.machines[0].state = MachineState::kLeaving;
-           scene.hear(scene.report(5), 1s);
+           scene.add_report(scene.report(5), 1s);
          },
          ReplicaState::kUsable, 0},
         {"an old report of leaving after the list has a new incarnation",
-         [&](Scene& scene) { scene.hear(leaving(scene, 3), 1s); }, ReplicaState::kUsable, 0},
+         [&](Scene& scene) { scene.add_report(leaving(scene, 3), 1s); }, ReplicaState::kUsable, 0},
         {"refused our connection",
          [](Scene& scene) {
-           scene.hear(scene.report(), 2s);
+           scene.add_report(scene.report(), 2s);
            scene.refusals[scene.machines[0].address] = kNow - 1s;
          },
          ReplicaState::kDown, 0},
         {"refused our connection, and a watcher reached it later",
          [](Scene& scene) {
-           scene.hear(scene.report(), 500ms);
+           scene.add_report(scene.report(), 500ms);
            scene.refusals[scene.machines[0].address] = kNow - 1s;
          },
          ReplicaState::kUsable, 0},
@@ -152,11 +154,11 @@
 
   void digests_carry_what_was_reported() {
     Scene scene;
-    scene.hear(scene.report(), 3s);
+    scene.add_report(scene.report(), 3s);
     wire::ReplicaReport later = scene.report();
     later.cached_prefixes = std::nullopt;
     later.running = 6;
-    scene.hear(later, 1s);
+    scene.add_report(later, 1s);
     const routing::Replica replica = scene.built();
     CPPUNIT_ASSERT(replica.digest.has_value());
     CPPUNIT_ASSERT(replica.digest->taken_at == kNow - 1s);
--- a/tests/unit/controllers/weights_rollout_test.cpp
+++ b/tests/unit/controllers/weights_rollout_test.cpp
@@ -251,7 +251,7 @@
       std::string name;
       std::uint64_t size_bytes;
       std::uint64_t bytes_per_second;
-      std::uint32_t most;
+      std::uint32_t maximum;
       std::size_t expected;
       core::Duration target_transfer_time = 2500ms;
     };
@@ -261,21 +261,21 @@
         {"the store serves all", 100, 800, 600, 20},
         {"the store serves all, to the byte", 100, 1'000, 600, 20},
         {"the store serves some", 100, 400, 600, 10},
-        {"a part of an engine does not count", 100, 439, 600, 10},
-        {"the store serves fewer than the least", 100, 50, 600, 3},
-        {"no more than the most", 100, 800, 7, 7},
-        {"a most below the least", 100, 800, 2, 3},
-        {"no most: the least", 100, 800, 0, 3},
+        {"fractions of an engine are rounded down", 100, 439, 600, 10},
+        {"the store serves fewer than the minimum", 100, 50, 600, 3},
+        {"limited by the maximum", 100, 800, 7, 7},
+        {"maximum below the minimum", 100, 800, 2, 3},
+        {"no maximum: the minimum", 100, 800, 0, 3},
         {"unknown size", 0, 800, 600, 3},
         {"unknown rate", 100, 0, 600, 3},
-        {"beyond any count", 1, 18'000'000'000'000'000'000ULL, 600, 20},
+        {"rate exceeds the integer range of the result", 1, 18'000'000'000'000'000'000ULL, 600, 20},
         {"a longer time serves more", 100, 400, 600, 16, 4s},
-        {"no time: the least", 100, 800, 600, 3, 0s},
+        {"no target time: the minimum", 100, 800, 600, 3, 0s},
     };
     for (const Case& one : cases) {
       RolloutSettings settings;
       settings.parallel_prefetches = 3;
-      settings.max_parallel_prefetches = one.most;
+      settings.max_parallel_prefetches = one.maximum;
       settings.target_transfer_time = one.target_transfer_time;
       RolloutSimulation world(20, settings);
       world.rollout.set_target({core::PolicyName("policy"), core::WeightVersion(2), one.size_bytes,
