--- a/src/node/health_exchange.hpp
+++ b/src/node/health_exchange.hpp
@@ -58,8 +58,8 @@
   boost::asio::awaitable<void> send_pending();
   void enqueue(const ingress::HealthFinding& finding);
   core::Duration random_delay();
-  /// Removes all pending findings. \return those that other processes still need, split into
-  /// reports that each fit into a packet.
+  /// Removes all pending findings.
+  /// \return those that other processes still need, split into reports that each fit into a packet.
   std::vector<wire::HealthReport> drain_pending();
   void broadcast(const wire::HealthReport& report);
   /// \return a random selection of members, as many as the rate limit admits now.
