--- a/src/jobs/term_session.cpp
+++ b/src/jobs/term_session.cpp
@@ -447,7 +447,7 @@
     const core::MonotonicTime now = self->inputs_.time.now();
     for (const ports::Record& record : *orders) {
       const core::Duration age = age_of(record.value, self->inputs_.store.now());
-      self->loader_->hold_back(record.key, now + self->settings_.order_pause - age);
+      self->loader_->pause_orders(record.key, now + self->settings_.order_pause - age);
     }
     self->order_history_loaded_ = true;
   }
--- a/src/jobs/term_session_parts.cpp
+++ b/src/jobs/term_session_parts.cpp
@@ -71,7 +71,7 @@
   };
   loading.can_send_orders = [weak] {
     const auto self = weak.lock();
-    return self && self->can_send_orders();
+    return self && self->may_order();
   };
   loading.running = [weak](const core::ReplicaId& id) {
     const auto self = weak.lock();
--- a/src/node/health_exchange.cpp
+++ b/src/node/health_exchange.cpp
@@ -197,7 +197,7 @@
   const core::MonotonicTime now = time_.now();
   for (const wire::HealthFinding& notice : report->findings) {
     const ingress::RemoteFindingOutcome outcome =
-        health_.hear(reporter, finding_of(notice, now), now);
+        health_.apply_remote_finding(reporter, finding_of(notice, now), now);
     meters_->outcomes.at(static_cast<std::size_t>(outcome))->Increment();
   }
 }
