--- a/src/ingress/crash_guard.cpp
+++ b/src/ingress/crash_guard.cpp
@@ -38,8 +38,8 @@
             "Suspects cleared because a replica served them completely or an operator "
             "released them")),
         held(metrics.counter("stoneport_crash_suspect_held_back_total",
-                             "Requests refused a replica because three or more had crashed while "
-                             "running them")),
+                             "Times that a request was held back because three or more replicas "
+                             "had crashed while running it")),
         suspects(metrics.gauge("stoneport_crash_suspects",
                                "Requests known to this process during which replicas crashed")),
         held_back(metrics.gauge("stoneport_crash_suspects_held",
--- a/src/ingress/crash_guard.hpp
+++ b/src/ingress/crash_guard.hpp
@@ -26,7 +26,7 @@
   quarantine::SuspectSettings suspects;
   /// Delay after which a service that still has only one healthy replica is treated as a service
   /// with a single replica, which suspects may use. Longer than replicas take to restart (1.2 to
-  /// 3.7 s).
+  /// 3.7 s measured).
   core::Duration sole_replica_delay = std::chrono::seconds(10);
   SuspectRunSettings runs;
   /// Delay before a replica is checked again that still accepted a connection right after it broke
--- a/src/ingress/load_statistics.hpp
+++ b/src/ingress/load_statistics.hpp
@@ -109,7 +109,7 @@
   /// \return the counts of \p service over the last kRecent; nothing if it has no entry. Cheaper
   /// than services().
   LoadCounts recent_of(const core::ServiceName& service, core::MonotonicTime now) const;
-  /// \return the tenants with the most recent requests.
+  /// \return the tenants that sent the largest number of requests recently.
   Tenants tenants(core::MonotonicTime now) const;
   /// \return the sum over the services, or tenants, without their own entry.
   LoadEntry other_services(core::MonotonicTime now) const;
@@ -123,12 +123,12 @@
   };
   using WaitingList = std::list<Waiting>;
 
-  /// Windows by name; a new name replaces the least recently used one.
+  /// Windows by name; a new name replaces the one with the fewest requests within kRecent.
   template <class Name, std::size_t kMost>
   class Table {
    public:
-    /// \return the window of \p name, which replaces the least recently used one if the table is
-    /// full.
+    /// \return the window of \p name; a new one replaces that with the fewest recent requests if
+    /// the table is full.
     detail::LoadWindow& of(const Name& name, core::MonotonicTime now);
     bool contains(const Name& name) const { return windows_.contains(name); }
     LoadCounts recent_of(const Name& name, core::MonotonicTime now) const;
--- a/src/ingress/outlier_detector.hpp
+++ b/src/ingress/outlier_detector.hpp
@@ -25,7 +25,7 @@
 
   /// Records a correct answer. Refusals count neither as success nor as failure.
   void note_success();
-  /// Records a failed call.
+  /// Records a call that the replica ran, or was to run, and failed.
   /// \return whether the failure ejects the replica.
   bool note_failure(core::MonotonicTime now);
   bool is_ejected(core::MonotonicTime now) const { return now < ejected_until_; }
--- a/src/jobs/item_dispatcher_steps.cpp
+++ b/src/jobs/item_dispatcher_steps.cpp
@@ -19,7 +19,7 @@
   std::vector<ReplicaRate> rates;
   const bool is_sample = view.replicas.size() >= replicas_compared(*view.job);
   if (is_sample || view.median == core::Duration(0)) {
-    return rates;  // so many have free slots, or their speed is unknown
+    return rates;  // enough replicas have free slots, or their speed is unknown
   }
   for (const ReplicaLoad& load : view.loads) {
     // A full replica refuses further texts, but still generates those that it has.
--- a/src/jobs/length_history.hpp
+++ b/src/jobs/length_history.hpp
@@ -1,5 +1,7 @@
 /// \file
-/// Bounded history of how long the texts of earlier attempts at items were. No I/O.
+/// History of how long the texts of earlier jobs were, by item: an item whose group is resubmitted
+/// in a later job has the same length there. Bounded: the oldest entries are dropped first. Used
+/// from the coordinator's thread only.
 #pragma once
 
 #include <cstdint>
--- a/src/jobs/open_job.hpp
+++ b/src/jobs/open_job.hpp
@@ -38,9 +38,9 @@
 struct ItemProgress {
   ItemState state = ItemState::kQueued;
   ItemText text;
-  std::uint32_t failed_answers = 0;      ///< replicas that ran it and failed
+  std::uint32_t failed_answers = 0;      ///< failures by replicas that ran it
   std::set<core::ReplicaId> failed_at;   ///< replicas that failed it
-  std::uint32_t impossible_answers = 0;  ///< replicas that reported it as impossible
+  std::uint32_t impossible_answers = 0;  ///< answers that reported it as impossible
   core::MonotonicTime not_before{};      ///< earliest time to place it again
   std::uint32_t speed_moves = 0;         ///< moves to a faster replica
   std::uint32_t silent_moves = 0;        ///< moves away from silent replicas since its last event
--- a/src/jobs/term_keeper.cpp
+++ b/src/jobs/term_keeper.cpp
@@ -9,8 +9,8 @@
 namespace asio = boost::asio;
 namespace {
 
-/// Fraction of a core: coordination used 0.05 on average in the largest recorded deployment, and
-/// several times that while jobs arrive.
+/// Fraction of a core: coordination of the users' deployment, after it had grown, used 0.05 on
+/// average, and several times that while jobs arrive.
 constexpr double kAmpleProcessorShare = 0.5;
 constexpr core::Duration kLongestBidDelay = std::chrono::milliseconds(500);
 
--- a/src/scaling/spot_plan.hpp
+++ b/src/scaling/spot_plan.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// Computes how many spot replicas a service should have in each zone: none normally, and while
-/// steps are late enough to start every open text at once. A trainer that fell behind has two steps
-/// open at a time, which take 5.5 to 7 s instead of 4.7 s, and catches up slowly. No benefit has
-/// been shown: the mean score of ten paired days of 71 machines was 0.782 without and 0.774 with
-/// spot replicas (3 rose, 5 fell by more than 0.01). No I/O.
+/// Computes how many spot replicas a service should have in each zone: none normally, and, while
+/// steps are late, as many as start every open text at once. A trainer that fell behind has two
+/// steps open at a time, which take 5.5 to 7 s instead of 4.7 s, and catches up slowly. No benefit
+/// has been shown: the mean score of ten paired days of 71 machines was 0.782 without and 0.774
+/// with spot replicas (3 rose, 5 fell by more than 0.01). No I/O.
 #pragma once
 
 #include <cstdint>
--- a/tests/unit/jobs/coordinator_term_test.cpp
+++ b/tests/unit/jobs/coordinator_term_test.cpp
@@ -42,7 +42,7 @@
   }
 
   /// Guards against terms that change hands repeatedly on a slow store because each new holder
-  /// learns the store's speed from timeouts.
+  /// learns the store's speed from timeouts (kwpd-topup, mix, seed 744861530223).
   void a_new_holder_keeps_the_term_on_a_slow_store() {
     World world;
     world.store.latency = milliseconds(300);
