--- a/src/ingress/shared_health.cpp
+++ b/src/ingress/shared_health.cpp
@@ -138,7 +138,8 @@
     bad += replica && replica->record.service == service ? 1 : 0;
   }
   const std::size_t listed = directory_.of_service(service).size();
-  // A service with a single bad replica offers no alternative, whatever the cause.
+  // A single bad replica never discredits its reporter: if the service has no other, there is no
+  // alternative to it, whoever is at fault.
   return bad > 1 &&
          static_cast<double>(bad) > settings_.max_share_of_service * static_cast<double>(listed);
 }
--- a/src/jobs/length_estimator.cpp
+++ b/src/jobs/length_estimator.cpp
@@ -22,7 +22,8 @@
 constexpr double kMedian = 0.5;
 /// In standard deviations: every text is longer than zero events.
 constexpr double kFarAbove = 10;
-/// A group that is waited for may be replaced by one of the tenth of groups that are not.
+/// Quantile of p90_remaining(): a step does not wait for a tenth of its groups, and one of these
+/// can replace a wanted group with a longer text.
 constexpr double kLongShare = 0.9;
 
 double guess_of(std::uint64_t guess) {
--- a/src/jobs/scorer.cpp
+++ b/src/jobs/scorer.cpp
@@ -234,9 +234,9 @@
   co_await text.changed.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-/// A call at a suspect replica may always be replaced, because other calls have shown that the
-/// replica is silent. Otherwise the service as a whole may be slow, and another call would add to
-/// its load.
+/// A call at a suspect replica is replaced outside the budget of second calls, because other calls
+/// have shown that the replica is silent. Otherwise the service as a whole may be slow, and another
+/// call would add to its load.
 bool Scorer::should_cut(const Text& text, const Attempt& attempt, const routing::CallBounds& bounds,
                         RouteStatistics& route) {
   if (!attempt.replica || attempt.is_cancelled || !is_silent(attempt)) {
--- a/src/jobs/term_session.hpp
+++ b/src/jobs/term_session.hpp
@@ -78,7 +78,7 @@
   bool may_order() const;
   /// Tells the send gate until when this process can rely on being the only coordinator.
   void extend_gate();
-  /// Reads which replicas previous holders ordered recently.
+  /// Reads which replicas previous holders recently ordered to load weights.
   static boost::asio::awaitable<void> load_order_history(std::shared_ptr<TermSession> self);
   static boost::asio::awaitable<std::optional<core::MonotonicTime>> announce_order(
       std::shared_ptr<TermSession> self, core::ReplicaId replica);
