--- a/src/eligibility/cold_rate_limiter.hpp
+++ b/src/eligibility/cold_rate_limiter.hpp
@@ -113,7 +113,7 @@
   std::unordered_map<core::ReplicaId, core::MonotonicTime> presumed_;
   /// Times of the coordinator's requests from this process within the last window.
   std::unordered_map<core::ReplicaId, std::deque<core::MonotonicTime>> sent_;
-  /// Time of the last request.
+  /// Time of this process's last client request to each replica.
   std::unordered_map<core::ReplicaId, core::MonotonicTime> front_end_sent_;
 };
 
--- a/src/jobs/coordinator.hpp
+++ b/src/jobs/coordinator.hpp
@@ -92,7 +92,7 @@
   /// Whether this process may bid for the term now.
   bool may_bid() const;
   void leave_if_preferred_elsewhere();
-  /// Checkpoints the unfinished texts and steps down in favor of a process in an allowed region.
+  /// Checkpoints the unfinished texts and steps down in favour of a process in an allowed region.
   boost::asio::awaitable<void> leave();
 
   CoordinatorInputs inputs_;
--- a/src/jobs/item_dispatcher.hpp
+++ b/src/jobs/item_dispatcher.hpp
@@ -68,7 +68,7 @@
   core::Metrics& metrics;
   /// Whether a replica is loading a version of a model.
   std::function<bool(const core::ReplicaId&, const core::ModelName&)> is_loading;
-  ingress::CrashGuard& guard;  ///< consulted for texts under which replicas terminated
+  ingress::CrashGuard& guard;  ///< consulted for texts under which replicas crashed
 };
 
 class ItemDispatcher : public std::enable_shared_from_this<ItemDispatcher> {
@@ -118,7 +118,7 @@
     boost::asio::cancellation_signal cancel;
     std::list<RunPointer>::iterator place;  ///< position in runs_
     std::optional<ingress::CrashGuard::Run>
-        suspect_run;  ///< set if replicas terminated under this text before
+        suspect_run;  ///< set if replicas crashed under this text before
   };
   /// Recent state of one replica.
   struct ReplicaWork {
@@ -164,11 +164,11 @@
   bool advance(JobView& view, core::MonotonicTime now);
   /// \return false when no replica has a free slot for any item of \p view.
   bool place_next(JobView& view, std::vector<JobView>& views, core::MonotonicTime now);
-  /// Like place_next(), for an item under which replicas terminated.
+  /// Like place_next(), for an item under which replicas crashed.
   void place_suspect(JobView& view, std::vector<JobView>& views, const TextToPlace& text,
                      core::MonotonicTime now);
   static core::RequestFingerprint content_of(const OpenJob& job, std::size_t item);
-  /// Determines whether a replica terminated while generating the text, and reports it to the
+  /// Determines whether a replica crashed while generating the text, and reports it to the
   /// guard.
   static boost::asio::awaitable<void> settle(std::shared_ptr<ItemDispatcher> self, RunPointer run,
                                              AttemptEnd end);
--- a/src/jobs/item_dispatcher_suspects.cpp
+++ b/src/jobs/item_dispatcher_suspects.cpp
@@ -1,4 +1,4 @@
-// ItemDispatcher: handles texts under which replicas terminated.
+// ItemDispatcher: handles texts under which replicas crashed.
 #include <algorithm>
 
 #include "jobs/item_dispatcher.hpp"
--- a/src/jobs/step_scheduler.hpp
+++ b/src/jobs/step_scheduler.hpp
@@ -52,7 +52,7 @@
   bool operator==(const StepPlace&) const = default;
 };
 
-/// A step that was newly opened, or was to be met, and is now deferred in favor of others of its
+/// A step that was newly opened, or was to be met, and is now deferred in favour of others of its
 /// rank.
 struct DeferredStep {
   std::string job;
--- a/src/routing/routing_table.hpp
+++ b/src/routing/routing_table.hpp
@@ -49,7 +49,7 @@
 /// Replicas of each model and service by name, each list sorted by id.
 struct RoutingTable {
   std::uint64_t generation = 0;
-  /// Time after which the table must not be used for new work: this process may have been suspended
+  /// Time after which the table must not be used for new work: this process may have been paused
   /// and have missed changes.
   core::MonotonicTime current_until = core::MonotonicTime::max();
   std::map<core::ModelName, std::vector<Replica>> models;
