--- a/src/controllers/gossip_controller.hpp
+++ b/src/controllers/gossip_controller.hpp
@@ -21,7 +21,7 @@
 GossipSettings gossip_settings(const config::DaemonSettings& settings);
 /// \return the digests' share of the byte rate
 std::uint32_t digest_bytes_per_second(const config::DaemonSettings& settings);
-/// \return the record of this process, with the first incarnation of the process life that
+/// \return the record of this process, with the first incarnation of the process run that
 /// starts at \p start
 wire::Member make_self(const config::DaemonSettings& settings, core::Address gossip_address,
                        core::Address peer_address, core::WallTime start);
--- a/src/controllers/gossip_records.hpp
+++ b/src/controllers/gossip_records.hpp
@@ -48,7 +48,7 @@
   bool merge(const wire::ReplicaDrainMark& mark);
   bool merge(const wire::ZoneNotice& notice);
   /// Raises the configuration revision of the member whose life_key() is \p holder. Ignored
-  /// when that member is unknown or has a different life.
+  /// when that member is unknown or belongs to a different run.
   /// \return the node, if anything changed
   std::optional<core::NodeId> merge_revision(std::uint64_t holder, core::Revision revision);
   /// Overwrites a record without applying the merge rule, for changes that only the
--- a/src/controllers/gossip_simulation.hpp
+++ b/src/controllers/gossip_simulation.hpp
@@ -41,9 +41,9 @@
   /// Ends the process without leave packets.
   void stop(std::size_t index) { nodes_[index].running = false; }
   bool running(std::size_t index) const { return nodes_[index].running; }
-  /// Starts a new process under the name of a stopped one, with the next life number.
+  /// Starts a new process under the name of a stopped one, with the next run number.
   void restart(std::size_t index) { restart(index, nodes_[index].life + 1); }
-  /// Starts a new process with life number \p life, which is lower than the previous one if
+  /// Starts a new process with run number \p life, which is lower than the previous one if
   /// the new machine's clock is behind.
   void restart(std::size_t index, std::uint64_t life);
   /// Assigns a partition. Nodes in different groups cannot reach one another; all start in
@@ -91,8 +91,8 @@
 struct GossipMeasurement {
   std::size_t members = 0;
   std::optional<core::Duration> join;        ///< from one seed until all know all
-  std::optional<core::Duration> drain_mark;  ///< until one drain mark is known everywhere.
-  std::optional<core::Duration> revision;    ///< until one revision is known everywhere.
+  std::optional<core::Duration> drain_mark;  ///< until one drain mark is known everywhere
+  std::optional<core::Duration> revision;    ///< until one revision is known everywhere
   /// Time until a new revision of every member is known everywhere.
   std::optional<core::Duration> all_revisions;
   /// Time until a tenth of the members, killed at once, is known dead everywhere.
--- a/src/controllers/gossip_state.hpp
+++ b/src/controllers/gossip_state.hpp
@@ -81,7 +81,7 @@
 
 class GossipState {
  public:
-  /// \param self record of this process, with the first incarnation of its life
+  /// \param self record of this process, with the first incarnation of its run
   GossipState(wire::Member self, GossipSettings settings, std::uint64_t random_seed);
 
   GossipOutput on_packet(const core::Address& from, std::string_view bytes,
--- a/src/controllers/lease.hpp
+++ b/src/controllers/lease.hpp
@@ -12,7 +12,7 @@
 
 namespace stoneport::controllers {
 
-/// One process of one daemon. A restarted daemon is a different holder, because its former
+/// One run of one daemon. A restarted daemon is a different holder, because its former
 /// process may only be frozen.
 struct LeaseHolder {
   core::NodeId node;
--- a/src/core/identifiers.hpp
+++ b/src/core/identifiers.hpp
@@ -49,7 +49,8 @@
 }
 
 using NodeId = Name<struct NodeIdTag>;  ///< machine that runs one daemon process
-/// One run of an engine or service instance between two restarts: see replica_life().
+/// One incarnation of a replica (engine or service instance), between two restarts: see
+/// replica_life().
 using ReplicaId = Name<struct ReplicaIdTag>;
 using ServiceName = Name<struct ServiceNameTag>;    ///< service that is not a model engine
 using ModelName = Name<struct ModelNameTag>;        ///< model served by engines
@@ -65,7 +66,7 @@
 /// Hash of a request's content, without its request id.
 using RequestFingerprint = Name<struct RequestFingerprintTag>;
 
-using WeightVersion = Counter<struct WeightVersionTag>;  ///< version of published policy weights
+using WeightVersion = Counter<struct WeightVersionTag>;  ///< increases with each published policy
 using Epoch = Counter<struct EpochTag>;                  ///< fencing token; the higher one wins
 using Incarnation = Counter<struct IncarnationTag>;      ///< number of one run of a process
 using Revision = Counter<struct RevisionTag>;            ///< revision of a row or configuration
@@ -74,9 +75,9 @@
 /// Separates name and start time in a ReplicaId; replica names contain no space.
 inline constexpr char kLifeSeparator = ' ';
 
-/// \return the id of the run of replica \p name that started at \p born (Unix milliseconds). A
-/// replica that restarts under the same name has lost its state; because each run has its own id,
-/// state that is stored by id never carries over to the next run.
+/// \return the id of the incarnation of replica \p name that started at \p born (Unix
+/// milliseconds). A replica that restarts under the same name has lost its state; because each
+/// incarnation has its own id, state that is stored by id never carries over to the next one.
 inline ReplicaId replica_life(const std::string& name, std::uint64_t born) {
   return ReplicaId(name + kLifeSeparator + std::to_string(born));
 }
--- a/src/node/health_exchange.cpp
+++ b/src/node/health_exchange.cpp
@@ -138,7 +138,7 @@
   wire::GossipPacket empty;
   empty.sender = gossip_.self();
   empty.message = wire::HealthReport();
-  // The head of the list may take two bytes.
+  // The length of the list may take two further bytes.
   constexpr std::size_t kListHeadBytes = 2;
   const std::size_t base = wire::size_without_records(empty) + kListHeadBytes;
   std::vector<wire::HealthReport> reports;
--- a/src/node/load_view.hpp
+++ b/src/node/load_view.hpp
@@ -26,7 +26,7 @@
   bool is_open = true;         ///< whether the zone is not evacuated
   std::uint32_t replicas = 0;  ///< number of replicas that accept work
   std::uint32_t places = 0;    ///< number of concurrent calls that these replicas accept
-  std::uint32_t running = 0;   ///< number of calls and texts of this process in progress there
+  std::uint32_t running = 0;   ///< calls and texts (generations of jobs) of this process there
   std::vector<AvoidedReplica> avoided;  ///< at most kMaxAvoidedListed
   std::uint32_t avoided_unnamed = 0;    ///< number of further avoided replicas
 };
--- a/src/node/suspect_exchange.cpp
+++ b/src/node/suspect_exchange.cpp
@@ -111,7 +111,7 @@
   wire::GossipPacket empty;
   empty.sender = gossip_.self();
   empty.message = wire::SuspectReport();
-  // The heads of the two lists may take two bytes each.
+  // The lengths of the two lists may take two further bytes each.
   constexpr std::size_t kListHeadBytes = 4;
   const std::size_t base = wire::size_without_records(empty) + kListHeadBytes;
   const std::size_t capacity =
--- a/src/node/zone_views.hpp
+++ b/src/node/zone_views.hpp
@@ -20,7 +20,7 @@
   std::optional<core::Duration> evacuated_for = std::nullopt;
   std::uint32_t replicas = 0;  ///< number of listed replicas
   std::uint32_t cold_replicas = 0;
-  std::uint32_t in_flight = 0;  ///< number of calls and texts of this process
+  std::uint32_t in_flight = 0;  ///< calls and texts (generations of jobs) of this process
 };
 
 /// \param evacuated_since for each evacuated zone, the time at which this process learned of it
--- a/src/ports/platform_duties.hpp
+++ b/src/ports/platform_duties.hpp
@@ -24,7 +24,7 @@
 using TenantCounts = std::map<core::TenantName, std::uint64_t>;
 
 struct UsageReport {
-  std::uint64_t window = 0;  ///< number of the time window, counted from the Unix epoch
+  std::uint64_t window = 0;  ///< its start in window lengths since the Unix epoch
   TenantCounts counts;
 };
 
--- a/src/ports/replica_client.hpp
+++ b/src/ports/replica_client.hpp
@@ -17,7 +17,7 @@
 
 namespace stoneport::ports {
 
-/// Addresses one run of a replica. A call never reaches another replica at the same address.
+/// Addresses one incarnation of a replica. A call never reaches another one at the same address.
 struct ReplicaTarget {
   core::ReplicaId id;
   core::Address address;
--- a/src/rollout/staleness.hpp
+++ b/src/rollout/staleness.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Age of samples in weight versions: the rule applied at hand-over, and the prediction made
-/// before a sample is started.
+/// Age of samples in weight versions: the rule applied at hand-over and to end work early that can
+/// no longer meet it, and the prediction made before a sample is started.
 #pragma once
 
 #include <cstdint>
--- a/src/steps/attempt.cpp
+++ b/src/steps/attempt.cpp
@@ -8,7 +8,8 @@
 using core::ErrorCode;
 namespace {
 
-/// Sends a cancel to an engine without a caller waiting for the result.
+/// send_cancel() and send_priority() run as tasks that nothing waits for, so they only count
+/// failures.
 asio::awaitable<void> send_cancel(std::shared_ptr<ports::ModelEngine> engine, core::StreamId stream,
                                   prometheus::Counter& failures) {
   const auto done = co_await engine->cancel_stream(std::move(stream));
--- a/src/usage/freeze_decision.hpp
+++ b/src/usage/freeze_decision.hpp
@@ -10,7 +10,7 @@
 
 namespace stoneport::usage {
 
-/// Counts written by each process, by the name of its incarnation.
+/// Counts written by each process, by the holder name of its run.
 using CountsByProcess = std::map<std::string, ProcessCounts>;
 
 struct FreezeSettings {
--- a/src/usage/usage_publisher.hpp
+++ b/src/usage/usage_publisher.hpp
@@ -15,7 +15,7 @@
 namespace stoneport::usage {
 
 struct UsagePublisherSettings {
-  std::string process;  ///< name of this process's incarnation; unique
+  std::string process;  ///< holder name of this run of the process; unique
   /// Minimum time between two writes; a killed process loses what it counted within this time.
   core::Duration shortest_interval = std::chrono::milliseconds(200);
   /// Maximum number of writes per second of all processes together: a third of what the store
--- a/src/usage/usage_records.hpp
+++ b/src/usage/usage_records.hpp
@@ -19,7 +19,7 @@
 /// never change.
 inline constexpr std::string_view kWindowTable = "stoneport-usage-window";
 
-/// Counts of one incarnation of a process; the key is the incarnation's name.
+/// Counts of one run of a process; the key is the holder name of that run.
 struct ProcessCounts {
   WindowIndex complete_through = 0;  ///< newest window up to which no request is unsettled
   WindowCounts windows;
--- a/src/usage/usage_reporter.hpp
+++ b/src/usage/usage_reporter.hpp
@@ -41,7 +41,7 @@
     ports::DutyClient& platform;
     WindowClock& clock;
     std::function<bool()> is_wanted;                      ///< whether the configuration has tenants
-    std::function<std::vector<std::string>()> processes;  ///< names of running incarnations
+    std::function<std::vector<std::string>()> processes;  ///< holder names of running processes
     const core::TimeSource& time;
     core::Metrics& metrics;
   };
--- a/src/wire/member.hpp
+++ b/src/wire/member.hpp
@@ -25,7 +25,7 @@
   core::ZoneName zone;
   core::RegionName region;
   core::Address gossip_address;  ///< UDP
-  core::Address peer_address;    ///< HTTP
+  core::Address peer_address;    ///< HTTP between daemons
   /// Revision of the configuration in force on the daemon.
   core::Revision configuration_revision;
   /// Whether the daemon is draining. Kept until the process restarts, also while the member is
--- a/tests/platform/crashing_request_test.cpp
+++ b/tests/platform/crashing_request_test.cpp
@@ -4,7 +4,8 @@
 /// it is sent anew. Without a record that outlives the attempt and is shared between processes,
 /// each repetition starts from zero: all replicas of a service crashed within 0.4 s, repeatedly, up
 /// to fifteen for one request, and every other caller was refused for seconds. Request ids differ
-/// between repetitions, so that crashes must be attributed by content.
+/// between repetitions (the logs showed one id for at most two of the crashes, but one content for
+/// all), so that crashes must be attributed by content.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <functional>
@@ -110,7 +111,7 @@
       return most;
     }
 
-    /// Sends the crashing request until it is held back.
+    /// Sends the crashing request until it is quarantined.
     void hold_back() {
       for (std::size_t round = 0; round < 3 && platform.crashes().size() < 3; ++round) {
         this->round(round);
--- a/tests/platform/load_page_test.cpp
+++ b/tests/platform/load_page_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Daemon process against a fake platform: the outcomes of its requests are on the operators' load
-/// page, which stoneportctl reads, and on no page that clients can reach.
+/// Daemon process against the platform stand-in: the outcomes of its requests are on the operators'
+/// load page, which stoneportctl reads, and on no page that clients can reach.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "ctl/load_summary.hpp"
--- a/tests/platform/process_test.cpp
+++ b/tests/platform/process_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Daemon processes against a fake platform: requests, jobs, and the guarantees when processes,
-/// replicas and the store fail.
+/// Daemon processes against the platform stand-in: requests, jobs, and the guarantees when
+/// processes, replicas and the store fail.
 #include <cppunit/extensions/HelperMacros.h>
 #include <signal.h>
 
@@ -374,7 +374,7 @@
   }
 
   /// Guards against holding a submission at a process that the store does not serve: a job waited
-  /// 3.6 s there, while another process would have accepted it.
+  /// 3.6 s there, while another process would have accepted it (scale-2 of qyzyljar-results).
   void a_process_refused_by_the_store_answers_at_once() {
     constexpr milliseconds kUntilLost(2200);
     constexpr milliseconds kAtOnce(700);  // two calls of 200 ms each plus overhead
--- a/tests/platform/regions_test.cpp
+++ b/tests/platform/regions_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Daemon processes against a fake platform with a single zone: requests and jobs of routes that
-/// allow only other regions never run, and requests are refused at once.
+/// Daemon processes against the platform stand-in with a single zone: requests and jobs of routes
+/// that allow only other regions never run, and requests are refused at once.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "platform_support/platform_stand_in.hpp"
--- a/tests/platform/tenants_test.cpp
+++ b/tests/platform/tenants_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests real daemon processes with the platform stand-in: authentication by key, ownership of
+/// Daemon processes against the platform stand-in: authentication by key, ownership of
 /// jobs, and usage reports.
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/unit/config/configuration_world.hpp
+++ b/tests/unit/config/configuration_world.hpp
@@ -399,7 +399,7 @@
     }
   }
 
-  /// Whom a daemon asks is drawn by lot, so the rounds that this takes vary.
+  /// Daemons choose the peers that they query at random, so the number of rounds varies.
   void settle() {
     for (int round = 0; round < kSettlingRounds && broken_.empty(); ++round) {
       settle_once();
--- a/tests/unit/controllers/gossip_walk_test.cpp
+++ b/tests/unit/controllers/gossip_walk_test.cpp
@@ -32,7 +32,7 @@
   return settings;
 }
 
-/// Records the state that each process has shown and reports random_member reversal.
+/// Records the state that each process has shown and reports any reversal.
 class MonotonicityCheck {
  public:
   explicit MonotonicityCheck(std::size_t size) : seen_(size) {}
--- a/tests/unit/controllers/weights_rollout_test.cpp
+++ b/tests/unit/controllers/weights_rollout_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of weight rollouts in virtual time, with simulated engines whose orders execute time,
+/// Tests of weight rollouts in virtual time, with simulated engines whose orders take time,
 /// fail or are lost.
 #include "controllers/weights_rollout.hpp"
 
--- a/tests/unit/ingress/forwarder_second_call_test.cpp
+++ b/tests/unit/ingress/forwarder_second_call_test.cpp
@@ -203,7 +203,7 @@
     world.send_in_sequence({"r0"});
     CPPUNIT_ASSERT_EQUAL(200u, world.serve());
     CPPUNIT_ASSERT(world.held < world.route.target_latency);
-    // In another zone, although a replica of the own zone has free slots too.
+    // In another zone, although a replica in this process's zone has free slots too.
     CPPUNIT_ASSERT(world.replicas.calls == (Names{"r0", "r2"}));
     CPPUNIT_ASSERT_EQUAL(0, world.running_calls());
     CPPUNIT_ASSERT_EQUAL(1.0, world.counted("sent"));
--- a/tests/unit/jobs/coordinator_term_test.cpp
+++ b/tests/unit/jobs/coordinator_term_test.cpp
@@ -42,7 +42,7 @@
   }
 
   /// Guards against terms that change hands repeatedly on a slow store because each new holder
-  /// learns the store's speed from timeouts.
+  /// learns the store's speed from timeouts (seen in kwpd-topup, mix, seed 744861530223).
   void a_new_holder_keeps_the_term_on_a_slow_store() {
     World world;
     world.store.latency = milliseconds(300);
@@ -54,8 +54,8 @@
     CPPUNIT_ASSERT(!second.coordinator->holds_term());
   }
 
-  /// Its clock was set back between two starts, so the members know a later incarnation than the
-  /// one in its name.
+  /// Its clock was set back between two starts, so the members know a later run of the process
+  /// than the one in its name.
   void a_holder_reported_as_ended_keeps_its_term() {
     World world;
     World::Process second(world, "b", std::chrono::seconds(120), milliseconds(500));
--- a/tests/unit/jobs/job_store_test.cpp
+++ b/tests/unit/jobs/job_store_test.cpp
@@ -98,7 +98,7 @@
   }
 
   /// Guards against a machine that is disconnected from the store holding jobs for 2.9 s before it
-  /// refuses them.
+  /// refuses them (docs/incidents/2026-12-02-abay-cut-machine.md).
   void a_lost_store_is_not_waited_for() {
     for (const bool is_lost : {false, true}) {
       World world;
--- a/tests/unit/weights/load_simulation_test.cpp
+++ b/tests/unit/weights/load_simulation_test.cpp
@@ -139,7 +139,8 @@
     CPPUNIT_ASSERT(simulate(35, 3, {1.0, 2}, {}) >= 9);
   }
 
-  /// Without assignment, each replica loads every model's versions and too few are current.
+  /// Without assignment, each replica loads every model's versions and too few are current, as
+  /// found on the grown deployment.
   void replicas_that_follow_every_model_fall_behind() {
     AssignmentSettings everything;
     everything.models_per_replica = 3;
