--- a/tests/unit/node/holder_liveness_test.cpp
+++ b/tests/unit/node/holder_liveness_test.cpp
@@ -35,8 +35,7 @@
         {"dead", "n#7", 7, MemberState::kDead, HolderStatus::kSuspect},
         {"restarted", "n#7", 8, MemberState::kAlive, HolderStatus::kEnded},
         // A holder that has just restarted, of which only the previous run is known here, must not
-        // count as ended: other processes would bid for its term, as on 2026-12-02
-        // (bench/days/rolling-stop.toml).
+        // count as ended: other processes bid for its term.
         {"only an earlier life is known", "n#7", 6, MemberState::kAlive, HolderStatus::kUnknown},
         {"an earlier life is dead", "n#7", 6, MemberState::kDead, HolderStatus::kUnknown},
         {"another node", "m#7", 9, MemberState::kDead, HolderStatus::kUnknown},
