--- a/src/controllers/configuration_controller.cpp
+++ b/src/controllers/configuration_controller.cpp
@@ -32,8 +32,8 @@
 core::Error unknown_outcome(const config::PublishCommit& commit, const std::string& cause) {
   return core::make_error(
       core::ErrorCode::kOutcomeUnknown,
-      fmt::format("it is unknown whether {} was accepted as revision {} ({}); publish the same "
-                  "document again, which has no effect if it was accepted",
+      fmt::format("whether {} was accepted as revision {} is not known ({}); publish the same "
+                  "document again: if it was accepted, that changes nothing",
                   to_string(commit.key), commit.record.revision.value(), cause));
 }
 
